--- a/gladedrum/placing/__init__.py
+++ b/gladedrum/placing/__init__.py
@@ -1,6 +1,7 @@
-"""Where a request goes: what is known of all targets' work, who decides, the fleet's repeats.
+"""Placement of requests: choosing targets, coordinating boxes, and the fleet-wide retry budget.
 
-In come demands, notes of peers and reports of engines; out go choices. The policies themselves are
-in `scheduling`, without clock and network. May import `beliefs`, `connections`, `gossip` and
-`scheduling`; nothing of the life of a request.
+Inputs are demands of requests, notes from peers and reports from engines; outputs are choices of
+targets. The placement policies are in `scheduling`, which has no clock and no network access. This
+package may import `beliefs`, `connections`, `gossip` and `scheduling`, but not the request
+lifecycle in `forward`.
 """
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -1,4 +1,4 @@
-"""Which targets a request goes to: candidates from the list, judged by a placement policy."""
+"""Choice of targets for a request, by a placement policy."""
 
 import hashlib
 import logging
@@ -21,52 +21,52 @@
 
 __all__ = ["AllClosed", "Barred", "Choice", "Chooser", "Demand", "Held", "Hopeless", "NoPlace"]
 
-SHUNNED = 0.6
-"""Targets that are distrusted more than this are only used if there are no others."""
+DISTRUST_LIMIT = 0.6
+"""Targets with a higher distrust (0 to 1) are used only if there are no others."""
 
-CROWDING_S = 0.05
-"""What a request in front costs at a plain service, in seconds per slot-share."""
+SLOT_SHARE_COST_S = 0.05
+"""Cost of load at a plain service, in seconds for a target whose slots are all taken."""
 
-AWAY_S = 0.001
-"""What another data hall costs at a plain service, in seconds."""
+REMOTE_HALL_COST_S = 0.001
+"""Cost of a target in another data hall at a plain service, in seconds."""
 
-MOST_ORDERS = 10_000
-"""Targets whose place in this box's own order is kept; more have come and gone."""
+MAX_CACHED_ORDER_KEYS = 10_000
+"""Maximum number of cached sort keys of targets; bounds memory as targets come and go."""
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """A request as far as its placement needs it.
+    """The properties of a request that its placement depends on.
 
     Parameters
     ----------
     service : Service
         The service that it goes to.
     prompt_tokens, answer_tokens : int
-        Its size; 0 where the service has no engines.
+        Size of the request; 0 if the service has no engines.
     first_due_s : float
-        When its answer, or first event, is due by the monotonic clock.
+        Deadline of its answer, or of the first event of a stream, by the monotonic clock.
     pause_limit_s : float
-        The longest pause between events that is aimed at.
+        Target value of the longest pause between events, in seconds.
     data_hall : str
-        Where the box stands that sends it.
+        Data hall of the sending box.
     policy : str
-        The placement policy that the table names for it.
+        Name of the placement policy that the table sets for it.
     lost_s : float
-        When its caller leaves, or its answer can't be whole in time, if no event has come; by the
-        monotonic clock.
+        When its caller leaves if no event has arrived, or when its answer can no longer complete in
+        time; by the monotonic clock.
     committed : bool
-        Whether it has run somewhere, so that it can't be refused as not run any more.
+        Whether it may have run somewhere, so that it can't be refused as not run.
     connected : frozenset of str
-        The targets to which the box that sends it holds an idle connection.
+        Targets to which the sending box holds an idle connection.
     digest : bytes
-        Stands for the request's content, if the box that sends it suspects any request to end
-        targets; else empty.
+        Digest of its content, if the sending box suspects any request of ending targets; else
+        empty.
     closed : mapping of str to float
-        Targets that take no request of the box that sends it, as that box knows, and for how many
-        seconds: by the rates that they name, or since they want rest from it.
+        Targets that take no request from the sending box now, and for how many seconds: because of
+        their rate limits, or because they asked this box to rest (send nothing for a while).
     """
 
     service: Service
@@ -84,26 +84,27 @@
 
 
 class Choice(NamedTuple):
-    """A target, its helpers, and what is expected.
+    """The chosen target, its helpers, and the predicted service.
 
     Parameters
     ----------
     main : TargetEntry
         The target that answers.
     helpers : tuple of TargetEntry
-        Engines that read with it.
+        Engines that read parts of the prompt.
     part_tokens : int
-        What each of them reads.
+        Number of tokens that each of them reads.
     reserved : bool
-        Whether the helpers must set memory aside.
+        Whether the helpers must reserve memory.
     loss : float
-        The credit that is expected to be lost.
+        Credit that is expected to be lost.
     first_event_s, pause_s : float
-        Predicted time to the first event, and longest pause after it; 0 for a plain service.
+        Predicted time to the first event, and longest pause after it, in seconds; 0 for a plain
+        service.
     decided_by : str
-        The box that has chosen, if it was another one.
+        The box that decided, empty if this one.
     lost_chance : float
-        The chance that the caller has left before the first event.
+        Probability that the caller leaves before the first event.
     """
 
     main: TargetEntry
@@ -118,7 +119,7 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """The target's and the helpers' names."""
+        """Names of the target and its helpers."""
         return (self.main.name, *(entry.name for entry in self.helpers))
 
 
@@ -129,7 +130,7 @@
     Parameters
     ----------
     come_back_s : float
-        After so many seconds one could.
+        Seconds until a target could serve it.
     """
 
     come_back_s: float
@@ -137,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Barred:
-    """The request ends the targets that run it.
+    """The request is condemned: it ends the targets that run it.
 
     Parameters
     ----------
     come_back_s : float
-        After so many seconds it may be tried again.
+        Seconds until it may be tried again.
     """
 
     come_back_s: float
@@ -150,42 +151,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """The request is suspected to end targets, and must wait before it may run again."""
+    """The request is suspected of ending targets and must wait before it may run again."""
 
     reason: str = "another run of it, or the word on its last one, is awaited"
 
 
 @dataclass(frozen=True, slots=True)
 class AllClosed:
-    """No target takes a further request now, by the rates and rests that they have named.
+    """No target takes another request now, because of rate limits and rests.
 
     Parameters
     ----------
     come_back_s : float
-        After so many seconds one does.
+        Seconds until the first target takes one.
     """
 
     come_back_s: float
 
 
 NoPlace = Hopeless | Barred | Held | AllClosed
-"""Why a request gets no place though targets have room."""
+"""Why a request is not placed although targets may have room."""
 
 
 class Chooser:
-    """Chooses targets.
+    """Chooses targets for requests.
 
     Parameters
     ----------
     box : str
-        This box's name. Each box has an order of its own in which it takes targets that are equally
-        good: boxes that do not know of each other's choices yet would else all take the same one.
+        Name of this box. It determines the order in which this box considers equally good targets:
+        boxes that do not know each other's choices yet would otherwise all pick the same target.
     clock : IReactorTime
         A monotonic clock.
     targets : TargetKeeper
-        The list.
+        The list of targets.
     view : FleetView
-        Their work and state.
+        The load and state of targets.
     """
 
     def __init__(
@@ -196,61 +197,61 @@
         view: FleetView,
     ):
         self._box = box
-        self._orders: dict[str, bytes] = {}
-        self._sorted_of: dict[str, TargetEntry] | None = None
+        self._order_keys: dict[str, bytes] = {}
+        self._sorted_entries: dict[str, TargetEntry] | None = None
         self._sorted: dict[str, list[TargetEntry]] = {}
         self._clock = clock
         self._targets = targets
         self._view = view
 
     def choose(self, demand: Demand, tried: Sequence[str]) -> Choice | None:
-        """Return where a request goes now, None if there is no place; `tried` come last."""
+        """Return the best choice now, None if there is none; targets in `tried` are used last."""
         now_s = self._clock.seconds()
-        listed = self._open(demand, now_s)
+        listed = self._open_targets(demand, now_s)
         fresh = [entry for entry in listed if entry.name not in tried] if tried else listed
-        sound = [e for e in fresh if self._view.state(e.name).distrust_at(now_s) < SHUNNED]
-        apart = keep_apart(sound, self.standing(demand), self._view, now_s)
-        for entries in (apart, sound, fresh, listed):
+        trusted = [e for e in fresh if self._view.state(e.name).distrust_at(now_s) < DISTRUST_LIMIT]
+        separated = keep_apart(trusted, self.standing(demand), self._view, now_s)
+        for entries in (separated, trusted, fresh, listed):
             choice = self._choose_among(entries, demand, now_s) if entries else None
             if choice is not None:
                 return choice
         return None
 
     def reopens_s(self, demand: Demand) -> float | None:
-        """Return when the first target takes a request again if none does now, in seconds."""
+        """Return the seconds until the first target takes a request; None if one does now."""
         now_s = self._clock.seconds()
-        listed = self._listed(demand.service.name)
-        if not listed or self._open(demand, now_s):
+        listed = self._usable_targets(demand.service.name)
+        if not listed or self._open_targets(demand, now_s):
             return None
         closed = self._view.closed(now_s)
         return min(max(closed.get(e.name, 0.0), demand.closed.get(e.name, 0.0)) for e in listed)
 
     def all_rest_s(self, demand: Demand) -> float | None:
-        """Return when the first target's rest is over if all want rest, in seconds; else None."""
-        listed = self._listed(demand.service.name)
+        """Return the seconds until the first rest ends if all targets rest, else None."""
+        listed = self._usable_targets(demand.service.name)
         if not listed or any(entry.name not in demand.closed for entry in listed):
             return None
         return min(demand.closed[entry.name] for entry in listed)
 
     def all_leave(self, demand: Demand) -> bool:
-        """Whether the service has targets, and all of them leave."""
+        """Whether the service has targets and all of them are leaving."""
         service = demand.service.name
-        if self._listed(service):
+        if self._usable_targets(service):
             return False
         return any(entry.service == service for entry in self._targets.entries.values())
 
-    def _open(self, demand: Demand, now_s: float) -> list[TargetEntry]:
-        """Return the usable targets that take a request now, by what they have said.
+    def _open_targets(self, demand: Demand, now_s: float) -> list[TargetEntry]:
+        """Return the usable targets that take a request now, given their rate limits and rests.
 
-        No list of candidates goes beyond these: a place that is refused where it is sent would
-        only be sought again.
+        All lists of candidates are subsets of this one. A target that is closed would refuse the
+        request, which would have to be placed again.
         """
-        listed = self._listed(demand.service.name)
+        listed = self._usable_targets(demand.service.name)
         closed = demand.closed.keys() | self._view.closed(now_s).keys()
         return [entry for entry in listed if entry.name not in closed] if closed else listed
 
     def standing(self, demand: Demand) -> Standing:
-        """Return whether the request is suspected to end targets."""
+        """Return whether the request is suspected of ending targets."""
         if not demand.digest:
             return Standing.CLEAR
         return self._view.suspects.standing(demand.digest, self._clock.seconds())
@@ -258,8 +259,9 @@
     def objection(self, demand: Demand) -> Barred | Held | None:
         """Return why a suspected request must not run now, None if it may.
 
-        Prompts that are the same to the byte seldom come at once; plain requests do, and most that
-        are lost with a target once are innocent, so those are not held yet.
+        A request to an engine waits from its first loss on while another run of it is under way. A
+        request to a plain service waits only from the second loss on: identical plain requests are
+        common, and most requests lost with a target once are innocent.
         """
         if not demand.digest:
             return None
@@ -269,19 +271,19 @@
                 return Barred(suspects.condemned_row(demand.digest, now_s).left_s)
             case Standing.HELD:
                 return Held()
-            case Standing.ALONE if self._runs_somewhere(demand.digest):
+            case Standing.ALONE if self._is_running(demand.digest):
                 return Held()
-            case Standing.WATCHED if demand.service.engine and self._runs_somewhere(demand.digest):
+            case Standing.WATCHED if demand.service.engine and self._is_running(demand.digest):
                 return Held()
             case _:
                 return None
 
-    def _runs_somewhere(self, digest: bytes) -> bool:
+    def _is_running(self, digest: bytes) -> bool:
         plans = self._view.suspect_plans(self._clock.seconds())
         return any(plan.digest == digest for plan in plans)
 
     def plan(self, work_id: str, demand: Demand, choice: Choice) -> WorkPlan:
-        """Note a choice in the ledger and return the plan."""
+        """Record a choice in the ledgers and return the plan."""
         now_s = self._clock.seconds()
         standing = self.standing(demand)
         plan = WorkPlan(
@@ -305,7 +307,7 @@
     ) -> Choice | None:
         traits = demand.service.engine
         if traits is None:
-            return Choice(min(entries, key=lambda entry: self._crowding_s(entry, demand, now_s)))
+            return Choice(min(entries, key=lambda entry: self._plain_cost_s(entry, demand, now_s)))
         by_name = {entry.name: entry for entry in entries}
         candidates = [self._candidate(entry, demand, traits, now_s) for entry in entries]
         job = Job(
@@ -336,43 +338,43 @@
         state = self._view.state(entry.name)
         state.ledger.advance(traits, now_s)
         pace = state.report.pace if state.report is not None else 1.0
-        away = entry.data_hall != demand.data_hall
+        is_remote = entry.data_hall != demand.data_hall
         unknown = state.unknown_tokens()
         return Candidate(
             entry.name,
             state.ledger,
             pace,
             state.distrust_at(now_s),
-            away,
+            is_remote,
             unknown,
             entry.name in demand.connected,
-            # A part of a prompt is work, too, for a target that asks for less of it.
+            # A target that limits its rate does not help with parts of other prompts.
             state.rate is None,
         )
 
-    def _listed(self, service: str) -> list[TargetEntry]:
-        """Return the usable targets of a service in this box's own order.
+    def _usable_targets(self, service: str) -> list[TargetEntry]:
+        """Return the usable targets of a service in the order of this box.
 
-        Sorted once for each list of targets: a fleet of hundreds is chosen from hundreds of times a
-        second.
+        The order is cached until the target list changes, since sorting hundreds of targets for
+        each request is expensive.
         """
-        if self._sorted_of is not self._targets.entries:
-            self._sorted_of, self._sorted = self._targets.entries, {}
+        if self._sorted_entries is not self._targets.entries:
+            self._sorted_entries, self._sorted = self._targets.entries, {}
         if service not in self._sorted:
-            self._sorted[service] = sorted(self._targets.usable(service), key=self._order)
+            self._sorted[service] = sorted(self._targets.usable(service), key=self._order_key)
         return self._sorted[service]
 
-    def _order(self, entry: TargetEntry) -> bytes:
-        """Return this box's own order of targets."""
-        if len(self._orders) > MOST_ORDERS:
-            self._orders.clear()
-        if entry.name not in self._orders:
+    def _order_key(self, entry: TargetEntry) -> bytes:
+        """Return the sort key of a target, which differs between boxes."""
+        if len(self._order_keys) > MAX_CACHED_ORDER_KEYS:
+            self._order_keys.clear()
+        if entry.name not in self._order_keys:
             key = f"{self._box}|{entry.name}".encode()
-            self._orders[entry.name] = hashlib.blake2b(key, digest_size=8).digest()
-        return self._orders[entry.name]
+            self._order_keys[entry.name] = hashlib.blake2b(key, digest_size=8).digest()
+        return self._order_keys[entry.name]
 
-    def _crowding_s(self, entry: TargetEntry, demand: Demand, now_s: float) -> float:
+    def _plain_cost_s(self, entry: TargetEntry, demand: Demand, now_s: float) -> float:
         state = self._view.state(entry.name)
-        in_front = len(state.ledger.rows) / max(1, entry.slots)
-        away_s = 0.0 if entry.data_hall == demand.data_hall else AWAY_S
-        return in_front * CROWDING_S + state.distrust_at(now_s) + away_s
+        load_share = len(state.ledger.rows) / max(1, entry.slots)
+        remote_s = 0.0 if entry.data_hall == demand.data_hall else REMOTE_HALL_COST_S
+        return load_share * SLOT_SHARE_COST_S + state.distrust_at(now_s) + remote_s
--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -1,10 +1,10 @@
 """The record of condemned requests in the platform's store, for boxes that start without peers.
 
-Boxes tell each other, so a box that starts has it from those that run. When all are lost at once,
-nobody would know, and each such request would end three more targets; in a fleet that is lost again
-and again that has no bound. The record is written by the boxes that read the list of targets for
-the others, under a lease, once for each condemned request, and read by a box whose peers know
-nothing: two calls a reader for each condemned request, one for each start of a whole fleet.
+A box that starts normally learns the condemned requests from running boxes. If all boxes are lost
+at once, only the store still has them; without it, each condemned request would end three more
+targets after every such loss. The boxes that read the target list for the others write the record,
+under a lease, once per condemned request. A box reads it if its peers know nothing. This costs two
+calls per reader and condemned request, and one for each start of a whole fleet.
 """
 
 import json
@@ -24,19 +24,20 @@
 
 CONDEMNED_PREFIX = "gladedrum/condemned/"
 
-LOOK_S = 0.1
-"""How often a box that starts looks whether peers have told it, in seconds."""
+POLL_S = 0.1
+"""How often a starting box checks whether peers have informed it, in seconds."""
 
-PEERS_WITHIN_S = 3.0
-"""How long a box that does not read for others waits for them, in seconds: less than the time after
-which it is held to know what others know, 3 s on small sites and 5 s on large ones."""
+PEER_WAIT_S = 3.0
+"""How long a box that does not read for others waits for peers before it reads the record, in
+seconds. This is shorter than the time after which peers expect it to be informed (3 s on small
+sites, 5 s on large ones)."""
 
-AGAIN_S = 1.0
-"""Pause after a call that failed, in seconds."""
+RETRY_PAUSE_S = 1.0
+"""Pause after a failed call, in seconds."""
 
-TRIES = 20
-"""How often a record is written before it is given up: the other reader has written it, or the
-store has been away for half a minute."""
+MAX_ATTEMPTS = 20
+"""Number of attempts to write a record. After that, the other reader has written it, or the store
+has been unavailable for half a minute."""
 
 _STORE_ERRORS = (KVUnavailableError, KVUnknownError, KVConflictError)
 
@@ -51,13 +52,13 @@
     clock : IReactorTime
         The process's clock.
     store : StoreClient
-        Where it is.
+        The store that holds the record.
     registry : BoxRegistry
-        Whether the other boxes are known yet.
+        Knows whether the other boxes are known yet.
     suspicion : Suspicion
-        Takes what is read; tells what is condemned and lifted.
+        Receives what is read; reports what is condemned and lifted.
     is_reader : callable
-        Whether this box reads the list of targets for others.
+        Whether this box reads the target list for others.
     """
 
     def __init__(
@@ -78,40 +79,42 @@
         suspicion.on_lifted = self._note_lifted
 
     def note_era(self) -> None:
-        """Write the record again: the store has come back from a copy that may lack it."""
+        """Write the record again: the store was restored from a copy that may lack it."""
         self._recorded.clear()
         for row in self._suspicion.condemned():
             self._note_condemned(row)
 
     async def run(self) -> None:
-        """Learn what is condemned, from peers or the store."""
+        """Load the condemned requests, from peers or from the store."""
         since_s = self._clock.seconds()
         while not self._suspicion.is_informed:
-            if self._is_to_read(self._clock.seconds() - since_s):
+            if self._should_read(self._clock.seconds() - since_s):
                 await self._read()
-                await sleep(self._clock, AGAIN_S)
+                await sleep(self._clock, RETRY_PAUSE_S)
             else:
-                await sleep(self._clock, LOOK_S)
-        # A supervised child that returns would be run again.
+                await sleep(self._clock, POLL_S)
+        # Does not return, since a supervised task that returns is restarted.
         while True:
             await sleep(self._clock, KEPT_S)
 
-    def _is_to_read(self, waited_s: float) -> bool:
+    def _should_read(self, waited_s: float) -> bool:
         reads_for_others = self._registry.revision != NEVER and self._is_reader()
-        return reads_for_others or waited_s >= PEERS_WITHIN_S
+        return reads_for_others or waited_s >= PEER_WAIT_S
 
     async def _read(self) -> None:
         try:
             listing = await self._store.list(CONDEMNED_PREFIX)
         except KVUnavailableError as exc:
-            _log.warning("record of condemned requests not read", extra={"reason": str(exc)})
+            _log.warning(
+                "reading the record of condemned requests failed", extra={"reason": str(exc)}
+            )
             return
         losses = [loss for item in listing.items for loss in self._losses_of(item)]
         self._recorded |= {loss.digest for loss in losses}
         self._suspicion.take_recorded(losses)
 
     def _losses_of(self, item: StoredItem) -> Iterator[Loss]:
-        """Return what an item says, as if it had just happened: the store tells no ages."""
+        """Yield the losses in an item, dated now since the store keeps no ages."""
         try:
             digest = bytes.fromhex(item.key.removeprefix(CONDEMNED_PREFIX))
             row = json.loads(item.value or b"")
@@ -119,7 +122,7 @@
             whose = str(row["route"]), str(row["organisation"])
         except (ValueError, KeyError, TypeError) as exc:
             extra = {"key": item.key, "reason": repr(exc)}
-            _log.error("condemned request's entry not read", extra=extra)
+            _log.error("invalid record of a condemned request", extra=extra)
             return
         now_s = self._clock.seconds()
         for target in starts:
@@ -137,25 +140,25 @@
     async def _write(self, row: Condemned) -> None:
         body = {"route": row.route, "organisation": row.organisation, "starts": row.starts}
         value = json.dumps(body).encode()
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 lease = await self._store.grant_lease(KEPT_S)
                 await self._store.transact({}, {_key(row.digest): value}, lease=lease)
                 return
             except _STORE_ERRORS as exc:
                 reason = str(exc)
-            await sleep(self._clock, AGAIN_S)
-        _log.error("condemned request not recorded", extra={"reason": reason})
+            await sleep(self._clock, RETRY_PAUSE_S)
+        _log.error("recording a condemned request failed", extra={"reason": reason})
 
     async def _remove(self, digest: bytes) -> None:
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 await self._store.transact({}, {}, [_key(digest)])
                 return
             except _STORE_ERRORS as exc:
                 reason = str(exc)
-            await sleep(self._clock, AGAIN_S)
-        _log.error("lifted request's entry not removed", extra={"reason": reason})
+            await sleep(self._clock, RETRY_PAUSE_S)
+        _log.error("removing the record of a lifted request failed", extra={"reason": reason})
 
 
 def _key(digest: bytes) -> str:
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -1,4 +1,10 @@
-"""What a box knows of targets beyond the list: their work, their reports, how they fare."""
+"""State of all targets as known on this box: their work, reports, rate limits and failures.
+
+The target list itself is in `beliefs`. Terms: *distrust* is the estimated probability that a target
+fails a request; a *rest* is a period in which a target takes nothing from this box; a target is
+*closed* while its rate limit allows no further request; `born` identifies one start of a target's
+process.
+"""
 
 import logging
 from collections import defaultdict
@@ -19,49 +25,48 @@
 __all__ = ["FleetView", "TargetState", "shown_age_s"]
 
 FAILURE_WEIGHT = 0.35
-"""How much one failed request raises the distrust in a target (weight of a moving mean)."""
+"""Weight of a failed request in the moving average of distrust."""
 
-TRUST_WEIGHT = 0.2
-"""How much one good request lowers it."""
+SUCCESS_WEIGHT = 0.2
+"""Weight of a successful request in the moving average of distrust."""
 
-FORGIVEN_IN_S = 4.0
-"""Distrust fades to a third in so many seconds, so that a target that is well again gets work."""
+DISTRUST_DECAY_S = 4.0
+"""Distrust decays to a third in this time, in seconds, so that recovered targets get work again."""
 
-TOLD_SILENT_S = 1.4
-"""A peer that says an engine is silent is believed if nobody has had a report of it for so long, in
-seconds: longer than the next box in its order needs to ask, 1.3 s, and shorter than two questions
-that time out, 1.5 s, so an engine that is silent is found no later. Else one link that is cut
-between an engine and its reader makes it suspect at all others for 68% of the time. All of it
-measured in virtual time."""
+BELIEVE_SILENT_AFTER_S = 1.4
+"""A peer's note that an engine is silent is believed if no box has had a report from it for this
+long, in seconds. This is longer than the next reader needs to ask (1.3 s), so that a broken link
+between an engine and its reader does not make all boxes suspect it, and shorter than two questions
+that time out (1.5 s), so that an engine that is silent is detected without extra delay."""
 
-REFUSED_BY = 2
-"""An engine that has refused connections of so many boxes counts as silent: its process is dead. By
-one box it may be the link that refuses, so the next in its order asks at once. The other boxes
-know after 0.9 s at most in place of 1.2 to 1.6 s (nine boxes, in virtual time)."""
+MIN_REFUSED_BOXES = 2
+"""An engine that has refused connections from this many boxes counts as silent, since its process
+has probably ended. A refusal to one box may be a fault of the link, so the next reader asks at
+once."""
 
-REFUSAL_COUNTS_S = 1.0
-"""How long a refusal counts, in seconds: two pauses between reports, and a way."""
+REFUSAL_LIFETIME_S = 1.0
+"""How long a refused connection counts, in seconds: two report intervals and a network delay."""
 
 START_KNOWN_WITHIN_S = 1.0
-"""A later start of a target is known here so many seconds after it, in calm times: two pauses
-between its reports, and a way. What was sent there within that time may be with the later one."""
+"""Time within which a restart of a target normally becomes known, in seconds: two report intervals
+and a network delay. Work sent there within that time may run on the later start."""
 
-UNKNOWN_TOKENS = 24_000
-"""Reported memory beyond what is known counts as unknown work from so many tokens on; less is
-within what a report that lags, and answers of unknown length, differ by."""
+MIN_UNKNOWN_TOKENS = 24_000
+"""Reported memory beyond the known work counts as unknown work from this many tokens on. Smaller
+differences come from the age of reports and from unknown lengths of answers."""
 
-SUSPECT_RUNS_S = 5.0
-"""For so long a run of a suspected request is taken to be under way if its end is not told, in
-seconds: one that ends its target does so within a second. The word of a placement whose asker never
-got it would else hold the request for 40 s, as long as ledgers keep it."""
+SUSPECT_RUN_TIMEOUT_S = 5.0
+"""How long a run of a suspected request counts as under way if no end is reported, in seconds. A
+request that ends its target does so within a second. Without this limit, a placement whose asker
+never got the answer would block the request for the 40 s that ledgers keep it."""
 
-LONGEST_REST_S = 300.0
-"""The longest rest that counts, in seconds: a target that says days is asked again after that."""
+MAX_REST_S = 300.0
+"""Maximum rest of a target, in seconds; a longer one is cut to this."""
 
 _NEVER_CLOSED_S = float("-inf")
 
-_OLDEST_S = 999.0
-"""Shown as the age of a report if none has come, in seconds."""
+_MAX_SHOWN_AGE_S = 999.0
+"""Upper limit of the report age in log lines, in seconds; also shown if no report has arrived."""
 
 UNREACHABLE_DISTRUST = 0.97
 """Distrust in a target that does not answer."""
@@ -71,78 +76,77 @@
 
 @dataclass(slots=True)
 class TargetState:
-    """What is known of one target.
+    """The known state of one target.
 
     Parameters
     ----------
     ledger : EngineLedger
         Its work.
     report : TargetReport or None
-        Its last report, own or told by a peer.
+        Its last report, read by this box or by a peer.
     reported_s : float
-        When that was.
+        When that report arrived.
     distrust : float
-        The chance that it fails a request, as of `judged_s`.
-    judged_s : float
-        See `distrust`.
+        Probability that it fails a request, as of `distrust_updated_s`.
+    distrust_updated_s : float
+        When `distrust` was last updated.
     silent : bool
-        Whether its last report did not come.
+        Whether its last report is missing.
     refused_s : dict of str to float
-        The boxes that it has refused a connection since its last report, and when.
+        The boxes whose connections it has refused since its last report, and when.
     born : int
-        Which of its starts this is, as in `TargetEntry`.
+        Identifies the start of its process, as in `TargetEntry`; 0 if unknown.
     rate : NamedRate or None
-        The rate that it takes from all boxes together, None while it names none.
+        Rate limit over all boxes that it names, None if it names none.
     closed_until_s : float
-        Until when it takes no further request, as far as this box knows, by that rate.
+        Until when it takes no further request by its rate limit, as far as this box knows.
     """
 
     ledger: EngineLedger = field(default_factory=EngineLedger)
     report: TargetReport | None = None
     reported_s: float = float("-inf")
     distrust: float = 0.0
-    judged_s: float = float("-inf")
+    distrust_updated_s: float = float("-inf")
     silent: bool = False
     refused_s: dict[str, float] = field(default_factory=dict)
     born: int = 0
     rate: NamedRate | None = None
     closed_until_s: float = float("-inf")
 
-    def refused_lately(self, now_s: float) -> int:
-        """Return how many boxes it has refused a connection of late."""
-        return sum(now_s - at_s <= REFUSAL_COUNTS_S for at_s in self.refused_s.values())
+    def recent_refusals(self, now_s: float) -> int:
+        """Return the number of boxes whose connections it has recently refused."""
+        return sum(now_s - at_s <= REFUSAL_LIFETIME_S for at_s in self.refused_s.values())
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it has failed to answer when it was asked for a report.
+        """Whether it did not answer when it was asked for a report.
 
-        An old report alone may mean that the box which reads it has gone: engines that were well
-        were suspect at all boxes for 1.6 of the 6 s after a planned stop (in virtual time).
+        The age of a report is not evidence: the box that reads the reports may have stopped.
         """
         return self.silent
 
     def unknown_tokens(self) -> float:
-        """Return the memory that it reports beyond the work that is known here.
+        """Return the memory in its report beyond the work known here, in tokens.
 
-        Boxes that are cut off from each other see each other's long prompts only there.
+        Boxes that are partitioned from each other see each other's long prompts only there.
         """
         if self.report is None:
             return 0.0
-        beyond = self.report.memory_used - self.ledger.tokens
-        return beyond if beyond >= UNKNOWN_TOKENS else 0.0
+        excess = self.report.memory_used - self.ledger.tokens
+        return excess if excess >= MIN_UNKNOWN_TOKENS else 0.0
 
     def distrust_at(self, now_s: float) -> float:
-        """Return the distrust, faded since it was last judged."""
+        """Return the distrust at `now_s`, decayed since its last update."""
         if not self.distrust and not self.silent:
             return 0.0
-        faded = self.distrust * 3 ** (-(now_s - self.judged_s) / FORGIVEN_IN_S)
-        return max(faded, UNREACHABLE_DISTRUST) if self.silent else faded
+        decayed = self.distrust * 3 ** (-(now_s - self.distrust_updated_s) / DISTRUST_DECAY_S)
+        return max(decayed, UNREACHABLE_DISTRUST) if self.silent else decayed
 
 
 class _Rest(NamedTuple):
-    """Until when a start of a target wants nothing from this box.
+    """Until when a start of a target takes nothing from this box.
 
-    Kept apart from its state, which is forgotten when its entry lapses.
+    Stored apart from `TargetState`, which is dropped when the target's entry lapses.
     """
 
     born: int
@@ -150,21 +154,21 @@
 
 
 class FleetView:
-    """All targets' states, from this box's own tries and from peers' notes.
+    """The state of all targets, from this box's own requests and from peers' notes.
 
     Parameters
     ----------
     traits_of : callable
-        Returns the traits of a target, by its name; the defaults if it is no engine.
+        Returns the traits of a target, by its name; the defaults if it is not an engine.
 
     Attributes
     ----------
     long_reads : LongReads
-        The long prompts that were placed of late.
+        The long prompts that were placed recently.
     on_reborn : callable
-        Called with the name of a target that has started again.
+        Called with the name of a target that has restarted.
     suspects : SuspectBook
-        The requests that may end targets; it is told here which targets end.
+        The requests that may end targets; this class reports ends of targets to it.
     """
 
     def __init__(
@@ -176,46 +180,46 @@
         self.suspects = SuspectBook()
         self._suspect_plans: dict[str, WorkPlan] = {}
         self._states: dict[str, TargetState] = defaultdict(TargetState)
-        self._rated: set[str] = set()
+        self._rate_limited: set[str] = set()
         self._rests: dict[str, _Rest] = {}
 
     def state(self, target: str) -> TargetState:
-        """Return what is known of a target."""
+        """Return the state of a target, created on first use."""
         return self._states[target]
 
     def forget(self, target: str) -> None:
-        """Drop what is known of a target that is gone."""
+        """Drop the state of a target that is gone."""
         self._states.pop(target, None)
-        self._rated.discard(target)
+        self._rate_limited.discard(target)
 
     def rates(self) -> list[tuple[str, NamedRate]]:
-        """Return the targets that name a rate, sorted, with their rates."""
-        return [(name, self._states[name].rate) for name in sorted(self._rated)]
+        """Return the targets that name a rate limit, sorted by name, with their rates."""
+        return [(name, self._states[name].rate) for name in sorted(self._rate_limited)]
 
     def closed(self, now_s: float) -> dict[str, float]:
-        """Return which targets take no request now by the rates that they name, and how long."""
-        left_s = {name: self._states[name].closed_until_s - now_s for name in self._rated}
+        """Return the targets that are closed by their rate limits, and for how many seconds."""
+        left_s = {name: self._states[name].closed_until_s - now_s for name in self._rate_limited}
         return {name: for_s for name, for_s in left_s.items() if for_s > 0}
 
     def note_gone(self, target: str, born: int, now_s: float) -> None:
-        """Note that a target has gone without having said that it leaves."""
+        """Record that a target has gone without announcing that it leaves."""
         self.suspects.note_ended(TargetStart(target, born), now_s)
 
     def suspect_plans(self, now_s: float) -> list[WorkPlan]:
-        """Return the work of suspected requests that is under way."""
+        """Return the plans of suspected requests that are under way."""
         if self._suspect_plans:
             self._suspect_plans = {
                 work_id: plan
                 for work_id, plan in self._suspect_plans.items()
                 if (row := self._states[plan.targets[0]].ledger.rows.get(work_id)) is not None
-                and now_s - row.placed_s < SUSPECT_RUNS_S
+                and now_s - row.placed_s < SUSPECT_RUN_TIMEOUT_S
             }
         return list(self._suspect_plans.values())
 
     def forget_work_of(self, box: str) -> None:
-        """Drop the work of a box that is gone: nobody will tell its end.
+        """Drop the work of a box that is gone, since no box will report its end.
 
-        It would count for 40 s, and after a loss of half a fleet the other half would place by it.
+        Otherwise the rows would count until they expire (40 s) and distort placements.
         """
         for state in self._states.values():
             lost = [work_id for work_id in state.ledger.rows if box_of(work_id) == box]
@@ -223,7 +227,7 @@
                 state.ledger.remove(work_id)
 
     def note_placed(self, plan: WorkPlan, now_s: float) -> None:
-        """Note work that was placed."""
+        """Record work that was placed."""
         parts = len(plan.targets)
         if plan.digest:
             self._suspect_plans[plan.work_id] = plan
@@ -246,7 +250,7 @@
             self.note_closed(plan.targets[0], interval_s(rate.per_s), now_s)
 
     def note_first_event(self, plan: WorkPlan, now_s: float) -> None:
-        """Note that the request writes, so its prompt has been read everywhere."""
+        """Record that the answer has begun, so all parts of the prompt have been read."""
         main, *helpers = plan.targets
         self._states[main].ledger.note_first_event(plan.work_id, now_s)
         for target in helpers:
@@ -257,18 +261,18 @@
                 ledger.remove(plan.work_id)
 
     def note_ended(self, plan: WorkPlan) -> None:
-        """Note that the work has left its targets."""
+        """Record that the work has left its targets."""
         self._suspect_plans.pop(plan.work_id, None)
         for target in plan.targets:
             self._states[target].ledger.remove(plan.work_id)
 
     def note_verdict(self, target: str, failed: bool, now_s: float, told_by: str = "") -> None:
-        """Note whether a target has failed a request; `told_by` is the peer that says so."""
+        """Update a target's distrust after a request; `told_by` is the reporting peer, if any."""
         state = self._states[target]
         before = state.distrust_at(now_s) if not state.silent else state.distrust
-        weight = FAILURE_WEIGHT if failed else TRUST_WEIGHT
+        weight = FAILURE_WEIGHT if failed else SUCCESS_WEIGHT
         state.distrust = before + weight * (float(failed) - before)
-        state.judged_s = now_s
+        state.distrust_updated_s = now_s
         if failed:
             _log.info(
                 "target failed a request",
@@ -281,7 +285,7 @@
             )
 
     def note_report(self, target: str, report: TargetReport | None, now_s: float) -> None:
-        """Note a report, None if it did not come; one of an earlier start changes nothing."""
+        """Record a report, None if it is missing; a report of an earlier start is ignored."""
         if report is not None and not self.note_born(target, report.born, now_s):
             return
         state = self._states[target]
@@ -297,10 +301,10 @@
     def note_rate(
         self, target: str, per_s: float | None, asked_s: float, now_s: float, told_by: str = ""
     ) -> bool:
-        """Note the rate that an answer of a target names, None if none; return whether it is new.
+        """Record the rate limit in a target's answer, None if none; return whether it has changed.
 
-        `asked_s` is when the request was sent that it answers; `told_by` the peer that was
-        answered.
+        `asked_s` is when the answered request was sent; `told_by` is the peer that got the answer,
+        if any.
         """
         state = self._states[target]
         before = state.rate
@@ -308,9 +312,9 @@
         if _per_s(before) == _per_s(state.rate):
             return False
         if state.rate is None:
-            self._rated.discard(target)
+            self._rate_limited.discard(target)
         else:
-            self._rated.add(target)
+            self._rate_limited.add(target)
         state.closed_until_s = _NEVER_CLOSED_S if state.rate is None else now_s
         if before is None:
             self.note_closed(target, interval_s(state.rate.per_s), now_s)
@@ -321,41 +325,44 @@
             "named_for_s": 0.0 if before is None else round(now_s - before.since_s, 3),
             "told_by": told_by,
         }
-        _log.info("target names another rate", extra=extra)
+        _log.info("target changed its rate limit", extra=extra)
         return True
 
     def note_rest(self, target: str, for_s: float, now_s: float) -> None:
-        """Note that a target wants nothing from this box for a while, longest as it has said."""
-        rest_s = max(self.rest_s(target, now_s), min(for_s, LONGEST_REST_S))
+        """Record that a target takes nothing from this box for `for_s` seconds.
+
+        The rest is cut to `MAX_REST_S`; of overlapping rests, the later end counts.
+        """
+        rest_s = max(self.rest_s(target, now_s), min(for_s, MAX_REST_S))
         self._rests[target] = _Rest(self._states[target].born, now_s + rest_s)
         extra = {"target": target, "for_s": for_s, "left_s": round(rest_s, 3)}
-        _log.info("target wants rest", extra=extra)
+        _log.info("target asked for rest", extra=extra)
 
     def rest_s(self, target: str, now_s: float) -> float:
-        """Return for how long a target wants nothing from this box, in seconds; 0 if it does."""
+        """Return the remaining rest of a target in seconds, 0 if it takes requests."""
         rest = self._rests.get(target)
         if rest is None or 0 < rest.born < self._states[target].born:
             return 0.0
         return max(0.0, rest.until_s - now_s)
 
     def rests(self, now_s: float) -> dict[str, float]:
-        """Return which targets want nothing from this box now, and for how long."""
+        """Return the targets that are resting now, and for how many more seconds."""
         left_s = {name: self.rest_s(name, now_s) for name in self._rests}
         for name in [name for name, for_s in left_s.items() if not for_s]:
             del self._rests[name]
-            _log.info("target's rest is over", extra={"target": name})
+            _log.info("rest of target ended", extra={"target": name})
         return {name: for_s for name, for_s in left_s.items() if for_s}
 
     def note_closed(self, target: str, for_s: float, now_s: float) -> None:
-        """Note that a target takes no further request for a while."""
+        """Record that a target takes no further request for `for_s` seconds."""
         state = self._states[target]
         state.closed_until_s = max(state.closed_until_s, now_s + for_s)
 
     def note_born(self, target: str, born: int, now_s: float) -> bool:
-        """Note which start of a target has been heard of; return whether it is the latest.
+        """Record the start of a target that was seen; return whether it is the latest one.
 
-        With a later one all ends that was believed of the earlier: its work, memory, pace and the
-        distrust in it.
+        A later start discards the state of the earlier one: report, distrust, rate limit, and the
+        work placed longer ago than `START_KNOWN_WITHIN_S`.
         """
         state = self._states[target]
         if not born or born == state.born:
@@ -365,10 +372,10 @@
         if not state.born:
             state.born = born
             return True
-        _log.info("target has started again", extra={"target": target, "born": born})
+        _log.info("target restarted", extra={"target": target, "born": born})
         self.suspects.note_ended(TargetStart(target, state.born), now_s)
         self._states[target] = TargetState(state.ledger, born=born)
-        self._rated.discard(target)
+        self._rate_limited.discard(target)
         placed = [row.work_id for row in state.ledger.rows.values()
                   if now_s - row.placed_s > START_KNOWN_WITHIN_S]  # fmt: skip
         for work_id in placed:
@@ -377,23 +384,23 @@
         return True
 
     def note_refused(self, target: str, box: str, now_s: float) -> None:
-        """Note that a target's address has refused a connection of a box."""
+        """Record that a target has refused a connection from a box."""
         state = self._states[target]
         state.refused_s[box] = now_s
         self.suspects.note_ended(TargetStart(target, state.born), now_s)
-        if state.refused_lately(now_s) >= REFUSED_BY:
+        if state.recent_refusals(now_s) >= MIN_REFUSED_BOXES:
             self.note_report(target, None, now_s)
 
-    # Notes of peers.
+    # Notes from peers.
 
-    def take(self, told: Gossip, known: Sequence[str], now_s: float) -> None:
-        """Take a peer's notes on targets that this box knows."""
-        for note in told.work or ():
+    def take(self, message: Gossip, known: Sequence[str], now_s: float) -> None:
+        """Process a peer's notes on targets that this box knows."""
+        for note in message.work or ():
             if all(target in known for target in note.targets or ()):
-                self._take_work(note, told.box or "", now_s)
-        for note in told.reports or ():
+                self._take_work(note, message.box or "", now_s)
+        for note in message.reports or ():
             if note.target in known:
-                self._take_report(note, told.box or "", now_s)
+                self._take_report(note, message.box or "", now_s)
 
     def _take_work(self, note: WorkNote, box: str, now_s: float) -> None:
         plan = plan_of(note)
@@ -420,7 +427,7 @@
             self.note_refused(note.target, box, now_s)
             return
         if not note.answered:
-            if now_s - self._states[note.target].reported_s > TOLD_SILENT_S:
+            if now_s - self._states[note.target].reported_s > BELIEVE_SILENT_AFTER_S:
                 self.note_report(note.target, None, now_s)
             return
         report = TargetReport(
@@ -443,8 +450,8 @@
 
 
 def shown_age_s(state: TargetState, now_s: float) -> float:
-    """Return the age of a target's last report as log lines show it, in seconds."""
-    return round(min(now_s - state.reported_s, _OLDEST_S), 3)
+    """Return the age of a target's last report for log lines, in seconds."""
+    return round(min(now_s - state.reported_s, _MAX_SHOWN_AGE_S), 3)
 
 
 def _stake(plan: WorkPlan, now_s: float) -> Stake:
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -1,7 +1,8 @@
-"""Placements: decided by this box, or by a member of the circle that it asks.
+"""Placement of requests, decided on this box or by a decider that it asks.
 
-A member that does not answer in time is passed over, and at last the box decides by what it knows
-itself: the circle makes placements better and is needed for none.
+A few boxes, the members of the coordinator group (the `Circle`), hear of all work in the fleet and
+decide for the others. The group improves placements but is not required: a member that does not
+answer in time is skipped, and in the end the box decides from its own state.
 """
 
 import logging
@@ -20,65 +21,63 @@
 from ..scheduling.suspects import Standing
 from .choosing import AllClosed, Barred, Choice, Chooser, Demand, Held, Hopeless, NoPlace
 from .fleet_view import FleetView
-from .members import Members
+from .members import MemberClient
 from .work_plan import WorkPlan, note_of
 
 __all__ = ["Placer"]
 
-ASKED = 2
-"""How many members are asked before a box decides alone."""
+MAX_MEMBERS_ASKED = 2
+"""Number of members that are asked before a box decides alone."""
 
-LONG_TOKENS = 30_000
-"""Prompts from so many tokens on are placed by one box, the arbiter: two that are placed at one
-moment by two boxes take the same idle engines, and the later is seconds late. Worth 1.6% of a calm
-day (mean of four paired runs without it)."""
+LONG_PROMPT_TOKENS = 30_000
+"""Prompts of at least this many tokens are placed by a single box, the arbiter: two boxes that
+place long prompts at the same moment would pick the same idle engines."""
 
 HOPELESS = 0.9
-"""A request is refused at once if its caller will have left before the first event with this
-chance, on the targets that serve it best: served in vain, it would delay the others. On overloaded
-days that is worth 2.4% of all that could be earned (mean of five paired runs)."""
+"""A request is refused at once if the probability that its caller leaves before the first event is
+higher than this on the targets that serve it best. Serving it would only delay other requests."""
 
-LEAST_WAIT_S, LONGEST_WAIT_S = 0.25, 10.0
-"""Bounds of when such a caller is told to come back, in seconds: a few passes of an engine; what
-callers wait at all."""
+MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.25, 10.0
+"""Bounds of the retry delay that such a caller is given, in seconds: a few engine passes, and the
+longest time that callers wait."""
 
-COLD_S = 3.0
-"""For so long after it has begun to hear of all work, a box lets others decide, in seconds: by then
-most requests that it has not heard of have ended."""
+WARM_UP_S = 3.0
+"""How long a box lets others decide after it starts to receive notes on all work, in seconds. By
+then, most requests that it has not heard of have ended."""
 
-ANSWER_WITHIN_S = 0.03
-"""A question that has waited longer here is not decided any more, in seconds: its asker may have
-gone elsewhere by the time the answer arrives."""
+MAX_QUESTION_AGE_S = 0.03
+"""Questions that have waited longer than this on this box are not decided, in seconds: the asking
+box may have moved on before the answer arrives."""
 
 _log = logging.getLogger(__name__)
 
 
 class _Question(NamedTuple):
-    """A peer's question, and where its answer goes."""
+    """A question from a peer, and the address that its answer goes to."""
 
     note: AskNote
     address: tuple[str, int]
 
 
 class Placer:
-    """Places requests, by itself or by asking a member of the circle.
+    """Places requests, locally or by asking a member of the coordinator group.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     circle : Circle
-        Who decides.
+        The coordinator group.
     chooser : Chooser
-        Decides here.
+        Chooses targets on this box.
     targets : TargetKeeper
         The list of targets.
     view : FleetView
-        The work that is known here.
+        The state of targets as known on this box.
     port : GossipPort
-        Datagrams to other boxes.
+        Sends datagrams to other boxes.
     service_of : callable
-        Returns what is known of a service, by its name.
+        Returns the `Service` with a given name.
     """
 
     def __init__(
@@ -99,15 +98,18 @@
         self._view = view
         self._port = port
         self._service_of = service_of
-        self._members = Members(clock, circle, port)
-        self._questions: WaitingQuestions[_Question] = WaitingQuestions(ANSWER_WITHIN_S)
-        self._inside_since_s: float | None = clock.seconds()
+        self._members = MemberClient(clock, circle, port)
+        self._questions: WaitingQuestions[_Question] = WaitingQuestions(MAX_QUESTION_AGE_S)
+        self._member_since_s: float | None = clock.seconds()
 
     async def place(
         self, work_id: str, demand: Demand, tried: Sequence[str]
     ) -> tuple[Choice, WorkPlan] | NoPlace | None:
-        """Return where a request goes, noted in the ledgers; None if there is no place."""
-        answer = await self._ask_in_order(self._deciders(work_id, demand), work_id, demand, tried)
+        """Choose where a request runs and record it in the ledgers; None if no target has room.
+
+        A `NoPlace` says why the request must not be placed now. Targets in `tried` are used last.
+        """
+        answer = await self._ask_deciders(self._deciders(work_id, demand), work_id, demand, tried)
         if answer is None:
             return self._decide(work_id, demand, tried)
         asked_id, choice = answer
@@ -115,21 +117,21 @@
             return choice
         return choice, self._chooser.plan(asked_id, demand, choice)
 
-    def take(self, told: Gossip, address: tuple[str, int]) -> None:
-        """Answer what a peer asks; take what it has decided."""
+    def take(self, message: Gossip, address: tuple[str, int]) -> None:
+        """Answer questions from a peer and process its answers to ours."""
         self._note_membership()
-        for ask in told.asks or ():
+        for ask in message.asks or ():
             self._questions.put(_Question(ask, address), self._clock.seconds())
-            # One in each turn, so that what arrives meanwhile is read before the next is decided.
+            # One per reactor turn, so that arriving datagrams are read between decisions.
             self._clock.callLater(0, self._answer_next)
-        for note in told.choices or ():
+        for note in message.choices or ():
             self._members.take(note)
 
     def _answer_next(self) -> None:
-        """Answer the question that came last; say so at once if it has waited too long."""
+        """Answer the latest question; reply "busy" at once if it has waited too long."""
         question, in_time = self._questions.take(self._clock.seconds())
         note = question.note
-        answer = self._answer_to(note) if in_time else ChoiceNote(note.work_id, [], busy=True)
+        answer = self._answer_question(note) if in_time else ChoiceNote(note.work_id, [], busy=True)
         self._port.answer(question.address, answer)
 
     def _decide(
@@ -144,37 +146,38 @@
             return None if reopens_s is None else AllClosed(reopens_s)
         if choice.lost_chance > HOPELESS and not demand.committed:
             wait_s = choice.first_event_s - (demand.first_due_s - self._clock.seconds())
-            return Hopeless(min(LONGEST_WAIT_S, max(LEAST_WAIT_S, wait_s)))
+            return Hopeless(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
         plan = self._chooser.plan(work_id, demand, choice)
         self._port.tell_work(note_of(plan, gossip.PLACED))
         return choice, plan
 
     def _deciders(self, work_id: str, demand: Demand) -> list[str]:
-        """Return who may decide, the best first; nobody if this box does.
+        """Return the boxes that may decide, best first; empty if this box decides.
 
-        Of a request that is to run one at a time, one box knows all runs.
+        A suspected request that must run alone always goes to the same decider, which therefore
+        knows all its runs.
         """
-        if demand.prompt_tokens >= LONG_TOKENS:
+        if demand.prompt_tokens >= LONG_PROMPT_TOKENS:
             members = self._circle.arbiters()
         elif self._chooser.standing(demand) >= Standing.ALONE:
-            members = self._in_order_of(demand.digest.hex())
+            members = self._members_ranked_for(demand.digest.hex())
         elif self._circle.includes_me() and (demand.service.engine is None or not self._is_cold()):
             return []
         else:
-            members = self._in_order_of(work_id)
-        return [member for member in members if self._members.may_be_asked(member)]
+            members = self._members_ranked_for(work_id)
+        return [member for member in members if self._members.is_available(member)]
 
-    def _in_order_of(self, text: str) -> list[str]:
-        """Return the members in an order that boxes know alike for a text."""
+    def _members_ranked_for(self, text: str) -> list[str]:
+        """Return the members in an order that depends on `text` and is the same on all boxes."""
         return sorted(self._circle.members(), key=lambda name: rank(f"{name}|{text}"))
 
-    async def _ask_in_order(
+    async def _ask_deciders(
         self, deciders: Sequence[str], work_id: str, demand: Demand, tried: Sequence[str]
     ) -> tuple[str, Choice | NoPlace] | None:
-        """Return what one of `deciders` has chosen, and under which id; None to decide here.
+        """Return the id used and the choice of one of `deciders`; None to decide on this box.
 
-        Each question has an id of its own: a member that answers too late has noted the work under
-        it, which is withdrawn then.
+        Each question has its own id. If a member answers too late, it has already recorded the work
+        under that id, and the record is withdrawn.
         """
         note = self._ask_note(work_id, demand, tried)
         cold, asked = [], 0
@@ -184,37 +187,36 @@
                     return None
                 cold.append(member)
                 continue
-            if asked == ASKED:
+            if asked == MAX_MEMBERS_ASKED:
                 break
             asked += 1
             note.work_id = f"{work_id}.{asked}"
             answer = await self._members.ask(member, note)
             if answer is not None and not answer.cold and not answer.busy:
-                return self._answered(answer, member)
+                return self._accept(answer, member)
             if answer is not None and answer.cold:
                 cold.append(member)
         if not cold or cold[0] == self._me:
             return None
-        return await self._insist(cold[0], note, work_id)
+        return await self._ask_cold_member(cold[0], note, work_id)
 
-    async def _insist(
+    async def _ask_cold_member(
         self, member: str, note: AskNote, work_id: str
     ) -> tuple[str, Choice | NoPlace] | None:
-        """Return what a cold member chooses if nobody knows the fleet's work.
+        """Return the choice of a cold member, used if no decider knows the fleet's work.
 
-        The first one decides all the same, so that what comes next is placed by one that knows of
-        this.
+        Asking the first one makes it record this placement, so that its next decisions include it.
         """
         note.insists = True
         note.work_id = f"{work_id}.0"
         answer = await self._members.ask(member, note)
-        return None if answer is None else self._answered(answer, member)
+        return None if answer is None else self._accept(answer, member)
 
-    def _answered(self, note: ChoiceNote, member: str) -> tuple[str, Choice | NoPlace] | None:
-        choice = self._choice_of(note, member)
+    def _accept(self, note: ChoiceNote, member: str) -> tuple[str, Choice | NoPlace] | None:
+        choice = self._choice_from_note(note, member)
         if choice is not None:
             return note.work_id, choice
-        # A target that it has chosen is leaving, wants rest from this box, or is unknown here.
+        # A chosen target is leaving, resting (takes nothing from this box now), or unknown here.
         self._members.withdraw(note)
         return None
 
@@ -239,17 +241,17 @@
 
     def _note_membership(self) -> None:
         if not self._circle.includes_me():
-            self._inside_since_s = None
-        elif self._inside_since_s is None:
-            self._inside_since_s = self._clock.seconds()
+            self._member_since_s = None
+        elif self._member_since_s is None:
+            self._member_since_s = self._clock.seconds()
 
     def _is_cold(self) -> bool:
-        """Whether this box has begun too lately to hear of all work to know it."""
+        """Whether this box has not yet received notes on all work for `WARM_UP_S`."""
         self._note_membership()
-        since_s = self._inside_since_s
-        return since_s is None or self._clock.seconds() - since_s < COLD_S
+        since_s = self._member_since_s
+        return since_s is None or self._clock.seconds() - since_s < WARM_UP_S
 
-    def _choice_of(self, note: ChoiceNote, member: str) -> Choice | NoPlace | None:
+    def _choice_from_note(self, note: ChoiceNote, member: str) -> Choice | NoPlace | None:
         if note.come_back_s:
             return Hopeless(note.come_back_s)
         if note.condemned_s:
@@ -258,12 +260,12 @@
             return Held()
         if note.closed_s:
             return AllClosed(note.closed_s)
-        entries = [self._entry(name) for name in note.targets or ()]
+        entries = [self._usable_entry(name) for name in note.targets or ()]
         if not entries or None in entries:
             return None
         main, *helpers = entries
         if note.rate_per_s is not None:
-            # Boxes that don't hear of all work know rates from those that decide for them.
+            # Boxes outside the group learn the rates of targets from the deciders' answers.
             now_s = self._clock.seconds()
             self._view.note_rate(main.name, note.rate_per_s, float("-inf"), now_s, member)
         return Choice(
@@ -277,12 +279,12 @@
             member,
         )
 
-    def _entry(self, name: str) -> TargetEntry | None:
+    def _usable_entry(self, name: str) -> TargetEntry | None:
         rests = self._view.rest_s(name, self._clock.seconds())
         usable = self._targets.may_get_work(name) and not rests
         return self._targets.entries.get(name) if usable else None
 
-    def _answer_to(self, ask: AskNote) -> ChoiceNote:
+    def _answer_question(self, ask: AskNote) -> ChoiceNote:
         if self._is_cold() and not ask.insists:
             return ChoiceNote(ask.work_id, [], cold=True)
         now_s = self._clock.seconds()
@@ -304,17 +306,17 @@
             {**(ask.closed or {}), **(ask.resting or {})},
         )
         placed = self._decide(ask.work_id or "", demand, ask.tried or ())
-        return _answer_of(ask.work_id, placed, self._rate_of(placed))
+        return _note_from_placement(ask.work_id, placed, self._rate_of(placed))
 
     def _rate_of(self, placed: tuple[Choice, WorkPlan] | NoPlace | None) -> float | None:
-        """Return the rate that the target of a placement names, None if none."""
+        """Return the rate limit named by the target of a placement, None if there is none."""
         if placed is None or isinstance(placed, NoPlace):
             return None
         rate = self._view.state(placed[0].main.name).rate
         return None if rate is None else rate.per_s
 
 
-def _answer_of(
+def _note_from_placement(
     work_id: str, placed: tuple[Choice, WorkPlan] | NoPlace | None, rate_per_s: float | None
 ) -> ChoiceNote:
     match placed:
--- a/gladedrum/placing/repeat_pool.py
+++ b/gladedrum/placing/repeat_pool.py
@@ -1,10 +1,11 @@
-"""The fleet's repeats: a box's own share, and what members of the circle have left of theirs.
-
-In a large fleet a share of the slack would be a repeat or two a box: too few where many requests
-break at once, and unused elsewhere. There the members of the circle hold the slack, and the other
-boxes ask one of them for each repeat beyond their own ratio. In a small fleet each box has a share,
-and asks others once it is empty. A repeat that is granted is taken out of the share of the box that
-grants it, so the fleet's bound holds whoever sends it.
+"""The fleet-wide retry budget: this box's share, and what members of the group have left of theirs.
+
+A *repeat* is a second attempt of a request (a retry or a hedge). The budget is a ratio of requests
+plus a slack. In a large fleet, an even split of the slack would leave each box a repeat or two: too
+few where many requests fail at once, and unused elsewhere. There, the members of the coordinator
+group hold the slack, and other boxes ask one of them for each repeat beyond their own ratio. In a
+small fleet each box has a share, and asks others once it is empty. A repeat is taken from the share
+of the box that grants it, so the total stays within the budget whichever box sends it.
 """
 
 import itertools
@@ -23,47 +24,47 @@
 
 __all__ = ["Grant", "RepeatPool", "sharers_of"]
 
-ASKED = 2
-"""How many members are asked for a repeat: each holds a part of the slack, and one may be slow. A
-stream whose engine has died is lost without one."""
+MAX_MEMBERS_ASKED = 2
+"""Number of members that are asked for a repeat. Each holds a part of the slack and one may be
+slow. A stream whose engine has died is lost without a repeat."""
 
-ASKED_IN_SMALL = 4
-"""As `ASKED` in a small fleet, where shares are smaller, and those of boxes that started within the
-window smaller still: all of 11 refusals in two runs of planned stops met such a box. Of these
-`ASKED` may be silent, so the wait is no longer than in a large one."""
+MAX_MEMBERS_ASKED_SMALL_FLEET = 4
+"""Same for a small fleet, where shares are smaller, and those of recently started boxes smaller
+still. The search ends after `MAX_MEMBERS_ASKED` silent members, so it takes no longer than in a
+large fleet."""
 
 _log = logging.getLogger(__name__)
 
 
 def sharers_of(circle: Circle, boxes: int) -> int:
-    """Return among how many boxes the slack is split; 0 if this box has no part of it."""
+    """Return the number of boxes that share the slack; 0 if this box has no share."""
     if circle.is_whole_fleet:
         return boxes
     return CIRCLE_SIZE if circle.includes_me() else 0
 
 
 class Grant(Enum):
-    """Out of whose share a repeat was taken."""
+    """Which box's share a repeat was taken from."""
 
     OWN = "own"
     PEER = "a peer's"
 
 
 class RepeatPool:
-    """Takes repeats from this box's share, or from a member's.
+    """Takes repeats from this box's share or from a member's.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     circle : Circle
-        Who holds the slack.
+        The coordinator group, whose members hold the slack.
     port : GossipPort
-        Datagrams to other boxes.
+        Sends datagrams to other boxes.
     shares : RepeatShares
         This box's share.
     rng : random.Random
-        Chooses whom to ask.
+        Selects the members to ask.
     """
 
     def __init__(
@@ -83,11 +84,11 @@
         self._waiting: dict[int, defer.Deferred[bool | None]] = {}
 
     def note_request(self, service: str) -> None:
-        """Count a request of a caller for a service."""
+        """Count a caller's request to a service."""
         self._shares.note_request(service, self._clock.seconds())
 
     async def take(self, service: str) -> Grant | None:
-        """Take one repeat; None if there is none."""
+        """Take one repeat; return None if there is none left."""
         if self._shares.take(service, self._clock.seconds()):
             return Grant.OWN
         if await self._ask(service):
@@ -97,39 +98,40 @@
         return None
 
     def give_back(self, service: str, grant: Grant) -> None:
-        """Put a repeat back that was not sent.
+        """Return a repeat that was not sent.
 
-        One of a peer's is lost: that share has filled up again, and the fleet would have it twice.
+        One granted by a peer is lost: the peer's share has been refilled since, and returning the
+        repeat would exceed the fleet's budget.
         """
         if grant is not Grant.PEER:
             self._shares.give_back(service, self._clock.seconds())
 
-    def take_told(self, told: Gossip, address: tuple[str, int]) -> None:
-        """Answer a peer's question; take a peer's answer."""
-        for ask in told.repeat_asks or ():
+    def take_told(self, message: Gossip, address: tuple[str, int]) -> None:
+        """Answer a peer's questions and process its answers."""
+        for ask in message.repeat_asks or ():
             granted = self._shares.take(ask.service_name or "", self._clock.seconds())
             self._port.grant_repeat(address, RepeatGrant(ask.ask_id, granted))
-        for grant in told.repeat_grants or ():
+        for grant in message.repeat_grants or ():
             waiting = self._waiting.pop(grant.ask_id, None)
             if waiting is not None:
                 waiting.callback(bool(grant.granted))
 
     async def _ask(self, service: str) -> bool:
-        """Ask members for a repeat; one that is silent or has none left is not the last word."""
+        """Ask members in turn until one grants a repeat or `MAX_MEMBERS_ASKED` are silent."""
         silent = 0
         for address in self._addresses_to_ask():
             granted = await self._ask_member(address, service)
             if granted:
                 return True
             silent += granted is None
-            if silent == ASKED:
+            if silent == MAX_MEMBERS_ASKED:
                 break
         return False
 
     def _addresses_to_ask(self) -> Iterator[tuple[str, int]]:
         others = [name for name in self._circle.members() if name != self._circle.me]
-        most = ASKED_IN_SMALL if self._circle.is_whole_fleet else ASKED
-        for member in self._rng.sample(others, min(most, len(others))):
+        limit = MAX_MEMBERS_ASKED_SMALL_FLEET if self._circle.is_whole_fleet else MAX_MEMBERS_ASKED
+        for member in self._rng.sample(others, min(limit, len(others))):
             address = self._circle.address(member)
             if address is not None:
                 yield address
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -1,4 +1,8 @@
-"""Reading of engines' reports: each engine is asked by one box, which tells the others."""
+"""Polling of engines for their load reports.
+
+One box, the reader, polls each engine and passes its reports on to the other boxes. Each engine has
+its own order of readers; the next box in it takes over if no report has been passed on in time.
+"""
 
 import hashlib
 import logging
@@ -20,33 +24,33 @@
 __all__ = ["ReportReader", "order_of", "read_report"]
 
 INTERVAL_S = 0.4
-"""Pause between two reports of an engine, in seconds; each has the price of a probe."""
+"""Pause between two reports of an engine, in seconds; each costs the engine as much as a probe."""
 
 TIMEOUT_S = 0.7
-"""How long a report may take, in seconds; engines answer in milliseconds."""
+"""Timeout of a report, in seconds; engines normally answer in milliseconds."""
 
-MISSES = 2
-"""Reports in a row that must fail before an engine counts as silent: one may be lost. A refused
-connection is told to the peers at once, see `fleet_view.REFUSED_BY`."""
+MAX_MISSES = 2
+"""Number of consecutive missing reports after which an engine counts as silent: a single one may be
+lost. Refused connections are reported to peers at once, see `fleet_view.MIN_REFUSED_BOXES`."""
 
-SECOND_S = 0.9
-"""If nobody has told of an engine for so long, in seconds, the next box in its order asks: more
-than two intervals, so a lost datagram costs no question. An engine that is lost together with its
-reader is found silent after 2.5 s at most."""
+SECOND_READER_AGE_S = 0.9
+"""Report age at which the second box in an engine's order polls it, in seconds. This is more than
+two intervals, so that a lost datagram does not cause a poll. An engine that is lost together with
+its reader is detected as silent after 2.5 s at most."""
 
-STALE_S = 2.0
-"""If nobody has told of an engine for so long, in seconds, this box asks it itself."""
+ANY_READER_AGE_S = 2.0
+"""Report age at which every reader polls an engine itself, in seconds."""
 
 _NEVER_S = float("-inf")
 
-_TOLERANCE_S = 1e-6
-"""Clocks add up pauses inexactly."""
+_CLOCK_TOLERANCE_S = 1e-6
+"""Tolerance for rounding errors of summed pauses, in seconds."""
 
 _log = logging.getLogger(__name__)
 
 
 class ReportReader:
-    """Asks the engines that fall to this box.
+    """Polls the engines that are assigned to this box.
 
     Parameters
     ----------
@@ -55,15 +59,15 @@
     pool : TargetPool
         Connections to targets.
     view : FleetView
-        Where reports are noted.
+        Records the reports.
     engines : callable
         Returns the engines that get work.
     me : str
-        This box's name.
+        Name of this box.
     readers : callable
-        Returns the names of the boxes that read reports; none while that is not known.
+        Returns the names of the boxes that read reports; empty while they are not known.
     tell : callable
-        Takes a `ReportNote` for the peers.
+        Sends a `ReportNote` to the peers.
     """
 
     def __init__(
@@ -87,7 +91,7 @@
         self._asked_s: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll engines until cancelled."""
         while True:
             readers = self._readers()
             listed = list(self._engines())
@@ -98,7 +102,7 @@
                     self._asked_s[entry.name] = self._clock.seconds()
                     start(self._ask(entry)).addErrback(_log_failure)
                 else:
-                    # A peer has told of it meanwhile: what failed before is not in a row.
+                    # A peer has reported on it meanwhile, so earlier misses are not consecutive.
                     self._misses[entry.name] = 0
             await sleep(self._clock, INTERVAL_S)
 
@@ -108,24 +112,26 @@
         now_s = self._clock.seconds()
         state = self._view.state(entry.name)
         if self._view.rest_s(entry.name, now_s):
-            # The next box in its order asks once nobody has told of it for a while.
+            # The next box in its order takes over once reports are missing for a while.
             return False
-        saved_s = self._saved_s(entry.name, now_s)
-        if saved_s is None:
+        rate_delay_s = self._rate_delay_s(entry.name, now_s)
+        if rate_delay_s is None:
             return False
-        age_s = now_s - state.reported_s - saved_s
+        age_s = now_s - state.reported_s - rate_delay_s
         match order_of(entry.name, readers).index(self._me):
             case 0:
                 return True
             case 1:
-                return age_s > SECOND_S or state.refused_lately(now_s)
+                return age_s > SECOND_READER_AGE_S or state.recent_refusals(now_s)
             case _:
-                return age_s > STALE_S
+                return age_s > ANY_READER_AGE_S
 
-    def _saved_s(self, target: str, now_s: float) -> float | None:
-        """Return how much longer a target may go without a report for the sake of its rate.
+    def _rate_delay_s(self, target: str, now_s: float) -> float | None:
+        """Return the extra report age that is allowed for a target, in seconds; None if not due
+        yet.
 
-        None if it is not to be asked yet. A question that failed is followed at the usual pause.
+        Polls count against a target's rate limit, so a target with a low rate is polled less often.
+        After a failed poll, the next one follows at the normal interval.
         """
         rate = self._view.state(target).rate
         if rate is None:
@@ -133,9 +139,9 @@
         pause_s = report_pause_s(rate, INTERVAL_S)
         if self._misses[target]:
             return pause_s
-        # Other answers of the target, too, say whether the rate still holds.
+        # All answers of the target carry its rate, so any of them postpones the poll.
         last_s = max(rate.heard_s, self._asked_s[target])
-        return pause_s if now_s - last_s >= pause_s - _TOLERANCE_S else None
+        return pause_s if now_s - last_s >= pause_s - _CLOCK_TOLERANCE_S else None
 
     async def _ask(self, entry: TargetEntry) -> None:
         asked_s = self._clock.seconds()
@@ -149,7 +155,7 @@
         if entry.name not in self._misses:
             return
         self._misses[entry.name] = 0 if report is not None else self._misses[entry.name] + 1
-        if report is None and self._misses[entry.name] < MISSES:
+        if report is None and self._misses[entry.name] < MAX_MISSES:
             return
         now_s = self._clock.seconds()
         self._view.note_report(entry.name, report, now_s)
@@ -170,7 +176,7 @@
     Raises
     ------
     TargetLeftAloneError
-        If it wants rest from this box.
+        If the target asked this box to rest.
     TargetNotListeningError
         If its address refuses connections.
     """
@@ -185,7 +191,9 @@
 
 
 def order_of(target: str, boxes: list[str]) -> list[str]:
-    """Return in which order boxes are to read a target's reports: rendezvous hashing."""
+    """Return the boxes in the order in which they are responsible for a target (rendezvous
+    hashing).
+    """
 
     def weight(box: str) -> bytes:
         return hashlib.blake2b(f"{box}|{target}".encode()).digest()
@@ -212,4 +220,4 @@
 
 
 def _log_failure(failure) -> None:
-    _log.error("report not read", extra={"reason": failure.getTraceback()})
+    _log.error("reading a report failed", extra={"reason": failure.getTraceback()})
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -1,10 +1,15 @@
-"""What targets say of themselves in their answers: heard here, told to others, and heeded.
+"""Statements that targets make about themselves in their answers: rate limit, leaving, rest.
 
-An answer that nobody waits for any more counts, too: one to a hedge that was overtaken, to a report
-or an order, or a refusal. What is said is kept where it is asked for, each kind with a life and a
-scope of its own: the rate (while answers name it, all boxes) in `TargetRates`, leaving (as long as
-that start lives, all boxes) in the list of targets, rest (until a time, the box that was answered)
-in `FleetView`. Nothing goes to a target past `TargetStatements.let_out`, which heeds them.
+Every answer counts, also one whose request is no longer waiting for it (an overtaken hedge, a
+report, an order, or a refusal). Each kind of statement has its own scope and lifetime:
+
+- The rate limit applies to all boxes while answers name it; kept in `TargetRates`.
+- Leaving applies to all boxes for the lifetime of that start of the target; kept in the target
+  list.
+- A rest applies to the box that was answered, until a given time; kept in `FleetView`.
+
+Everything that is sent to a target passes `TargetStatements.let_out`, which enforces leaving and
+rests.
 """
 
 import logging
@@ -29,14 +34,14 @@
 
 
 class _Heard(NamedTuple):
-    """When this box was told that a target leaves, and by which peer; empty: by the target."""
+    """When this box learned that a target is leaving; `told_by` is empty if the target said so."""
 
     at_s: float
     told_by: str
 
 
 class ShownLeaving(TypedDict):
-    """A target that has said that it leaves, as operators see it."""
+    """A target that has announced that it leaves, as shown to operators."""
 
     target: str
     heard_age_s: float
@@ -44,14 +49,14 @@
 
 
 class ShownRest(TypedDict):
-    """A target that wants nothing from this box, and for how many seconds."""
+    """A target that takes nothing from this box for `left_s` more seconds."""
 
     target: str
     left_s: float
 
 
 class ShownStatements(TypedDict):
-    """What targets say of themselves, as operators see it."""
+    """Statements of targets, as shown to operators."""
 
     rates: list[ShownRate]
     leaving: list[ShownLeaving]
@@ -59,7 +64,7 @@
 
 
 class TargetStatements:
-    """What targets have said of themselves, to this box.
+    """Processes and enforces the statements of targets.
 
     Parameters
     ----------
@@ -68,11 +73,11 @@
     targets : TargetKeeper
         The list of targets.
     view : FleetView
-        What is known of them beside.
+        The state of targets; keeps their rests.
     rates : TargetRates
-        Keeps the rates that they name.
+        Keeps the rate limits that they name.
     port : GossipPort
-        Datagrams to other boxes.
+        Sends datagrams to other boxes.
     """
 
     def __init__(
@@ -91,15 +96,19 @@
         self._odd: dict[tuple[str, str], str] = {}
         self._leaving: dict[str, _Heard] = {}
 
-    # What the pool of connections calls.
+    # Called by the connection pool.
 
     def let_out(self, target: str, kind: CallKind) -> int:
-        """Return the start of a target that is known, right before something is sent to it.
+        """Check that a call may be sent to a target now; return the target's known start.
+
+        A leaving target finishes the work that it has begun: its reservations are renewed and
+        freed, and its reports are read. A resting target gets renewals only, since it would
+        otherwise cut running streams; reservations that are no longer needed expire there.
 
-        Raises `NotNowError` if it is not to get that. Work that has begun at a target that leaves
-        goes on there: its memory is renewed and freed, and its load is asked for. One that wants
-        rest gets renewals alone: without them it would cut a stream that runs; memory that is not
-        needed any more lapses there by itself.
+        Raises
+        ------
+        NotNowError
+            If the call must not be sent now.
         """
         if kind in _NEW_WORK and not self._targets.may_get_work(target):
             raise NotNowError("the target is leaving")
@@ -112,14 +121,15 @@
         return self._view.state(target).born
 
     def rest_s(self, target: str) -> float:
-        """Return for how long a target wants nothing from this box, in seconds; 0 if it does."""
+        """Return the remaining rest of a target in seconds, 0 if it takes requests."""
         return self._view.rest_s(target, self._clock.seconds())
 
     def note_answer(self, target: str, born: int, said: Statements, sent_s: float) -> None:
-        """Take what an answer to this box says of its target.
+        """Process the statements in an answer to this box.
 
-        Of one that is not listed only that it leaves, which holds if it is listed again; nothing of
-        an earlier start: `born` is the one that was known when the request went out, at `sent_s`.
+        Of a target that is not listed, only leaving is recorded, in case it is listed again.
+        Statements of an earlier start are ignored. `born` is the start that was known when the
+        request was sent, at `sent_s`.
         """
         if target not in self._targets.entries:
             if said.leaves:
@@ -136,27 +146,28 @@
 
     # Peers.
 
-    def take(self, told: Gossip) -> None:
-        """Take what a peer tells."""
-        for note in told.leaving_targets or ():
+    def take(self, message: Gossip) -> None:
+        """Process a peer's notes on leaving targets."""
+        for note in message.leaving_targets or ():
             if note.target:
-                self._note_leaving(note.target, note.born or 0, told.box or "")
+                self._note_leaving(note.target, note.born or 0, message.box or "")
 
     def _note_leaving(self, target: str, born: int, told_by: str) -> None:
-        """Note that a target leaves; the first box that is told by the target tells all others.
+        """Record that a target is leaving.
 
-        They would else each send there until they are told, or until the store says so.
+        A box that learns it from the target notifies all other boxes, which would otherwise keep
+        sending there until the store lists the target as leaving.
         """
         if not self._targets.note_leaving(target, born):
             return
         self._leaving = {**self._leaving_listed(), target: _Heard(self._clock.seconds(), told_by)}
         extra = {"target": target, "told_by": told_by, "list_age_s": round(self._targets.age_s, 3)}
-        _log.info("target says that it leaves", extra=extra)
+        _log.info("target announced that it is leaving", extra=extra)
         if not told_by:
             self._port.tell_leaving(LeavingNote(target, born))
 
     def _leaving_listed(self) -> dict[str, _Heard]:
-        """Return which of the targets that have said so are listed, and leave still."""
+        """Return the targets that announced leaving, are still listed and still leaving."""
         listed = self._targets.entries
         return {
             name: heard
@@ -167,7 +178,7 @@
     # Operators.
 
     def shown(self) -> ShownStatements:
-        """Return what targets say of themselves, for operators."""
+        """Return the statements of targets for operators."""
         now_s = self._clock.seconds()
         leaving = self._leaving_listed().items()
         return ShownStatements(
@@ -185,11 +196,11 @@
         )
 
     def _note_odd(self, target: str, odd: tuple[OddStatement, ...]) -> None:
-        """Log what stands in the place of a statement and is none, once until it changes."""
+        """Log a statement that can't be parsed, once until its text changes."""
         for kind, text in odd:
             if self._odd.get((target, kind)) != text:
                 listed = self._targets.entries
                 self._odd = {key: said for key, said in self._odd.items() if key[0] in listed}
                 self._odd[target, kind] = text
                 extra = {"target": target, "statement": kind, "said": text}
-                _log.warning("target says what can't be read", extra=extra)
+                _log.warning("unreadable statement from target", extra=extra)
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -1,8 +1,10 @@
-"""What a box does about requests that may end targets: notes losses, tells peers, judges.
+"""Detection of requests that end targets: records losses, shares them with peers, reports verdicts.
 
-The judging itself is in `scheduling.suspects`. Here the losses come from this box's own tries and
-from peers, and go out to them: at once when a request is lost, twice more in case a datagram is
-lost, and whole to a box whose checksum differs (`beliefs.vouching`), such as one that has started.
+A *loss* is a request that was lost together with a target. The rules that turn losses into verdicts
+are in `scheduling.suspects`. This module collects losses from the box's own attempts and from
+peers. It sends each loss to all peers at once and twice more, in case a datagram is lost, and sends
+all losses to a box whose checksum differs (`beliefs.vouching`), such as one that has just
+started.
 """
 
 import logging
@@ -26,42 +28,42 @@
 
 __all__ = ["Suspicion", "loss_of", "note_of_loss"]
 
-TOLD_AGAIN_S = (0.3, 0.9)
-"""When a loss is told again, in seconds after it: with one datagram in ten lost, one loss in a
-thousand does not reach a box; of requests that were lost twice, the comparison of checksums
-brings it."""
+RESEND_DELAYS_S = (0.3, 0.9)
+"""When a loss is sent again, in seconds after the first time. If one datagram in ten is lost, a box
+misses one loss in a thousand; for requests that were lost twice, the comparison of checksums then
+recovers it."""
 
-CHECKED_AFTER_S = ALIVE_AFTER_S + 0.05
-"""When a target that gives no reports is asked for a connection, in seconds after a loss: one that
-has ended is away for longer, and what is there then was there before."""
+CHECK_DELAY_S = ALIVE_AFTER_S + 0.05
+"""Delay between a loss and the connection check of a target without reports, in seconds. A target
+that has ended takes longer to restart, so a process that listens then did not end."""
 
 Listening = Callable[[], Awaitable[bool | None]]
-"""Returns whether a process takes connections there; None if that can't be told."""
+"""Returns whether a process accepts connections there; None if unknown."""
 
 _log = logging.getLogger(__name__)
 
 
 class Suspicion:
-    """This box's part in finding the requests that end targets.
+    """Tracks requests that are suspected of ending targets.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     view : FleetView
-        Holds the losses, and learns which targets have ended.
+        Holds the losses and detects targets that end.
     targets : TargetKeeper
         The list of targets.
     port : GossipPort
-        Datagrams to other boxes.
+        Sends datagrams to other boxes.
 
     Attributes
     ----------
     is_informed : bool
-        Whether it is known what was condemned before this box started.
+        Whether this box knows the requests that were condemned before it started.
     on_condemned, on_lifted : callable
         Called with each `Condemned` when it becomes known; with the digest of one that an operator
-        has lifted here.
+        has lifted on this box.
     """
 
     def __init__(
@@ -85,39 +87,41 @@
 
     @property
     def is_watching(self) -> bool:
-        """Whether any request is suspected, so that it matters which one comes."""
+        """Whether any request is suspected, so that digests of requests must be computed."""
         return self._book.is_watching
 
     def standing(self, digest: bytes) -> Standing:
-        """Return what may be done with a request."""
+        """Return the standing of a request: clear, or how it is restricted."""
         return self._book.standing(digest, self._clock.seconds())
 
     def barred_s(self, digest: bytes) -> float | None:
-        """Return after how many seconds a condemned request may be tried again, else None."""
+        """Return the seconds until a condemned request may be tried again, else None."""
         row = self._book.condemned_row(digest, self._clock.seconds())
         return None if row is None else row.left_s
 
     def note_lost(self, digest: bytes, names: Iterable[str], route: str, organisation: str) -> None:
-        """Note that a request was lost with targets; those that are leaving end as planned."""
+        """Record that a request was lost with targets; leaving targets end as planned and are
+        skipped.
+        """
         starts = [self._start(name) for name in names if self._targets.may_get_work(name)]
         now_s = self._clock.seconds()
-        self._tell_thrice(self._book.note_lost(digest, starts, now_s, route, organisation))
+        self._tell_repeatedly(self._book.note_lost(digest, starts, now_s, route, organisation))
 
     async def check(self, target: str, is_listening: Listening) -> None:
-        """Find out whether a target that gives no reports has ended, after a loss.
+        """Find out, after a loss, whether a target without reports has ended.
 
-        Its entry would tell that after 4 to 5 s only, and never that it lives on.
+        The lapse of its entry would show an end after 4 to 5 s only, and never that it is alive.
         """
         start = self._start(target)
-        await sleep(self._clock, CHECKED_AFTER_S)
+        await sleep(self._clock, CHECK_DELAY_S)
         listening, now_s = await is_listening(), self._clock.seconds()
         if listening is not None:
             note = self._book.note_alive if listening else self._book.note_ended
-            self._tell_thrice(note(start, now_s))
+            self._tell_repeatedly(note(start, now_s))
 
     def note_served(self, digest: bytes) -> None:
-        """Note that a request has run to its end, so that it can't be what ends targets."""
-        self._tell_thrice(self._book.note_served(digest, self._clock.seconds()))
+        """Record that a request has completed, which clears it of suspicion."""
+        self._tell_repeatedly(self._book.note_served(digest, self._clock.seconds()))
 
     def _start(self, name: str) -> TargetStart:
         return TargetStart(name, self._view.state(name).born)
@@ -125,11 +129,11 @@
     # Operators.
 
     def condemned(self) -> list[Condemned]:
-        """Return the condemned requests, the latest first."""
+        """Return the condemned requests, latest first."""
         return self._book.condemned(self._clock.seconds())
 
     def lift(self, digest: bytes) -> bool:
-        """Let a condemned request be tried again; return whether it was one."""
+        """Allow a condemned request again; return whether it was condemned."""
         is_condemned = self.standing(digest) is Standing.CONDEMNED
         if is_condemned:
             _log.warning("condemned request lifted", extra={"request_digest": digest.hex()})
@@ -145,36 +149,36 @@
 
     @property
     def checksum(self) -> int:
-        """What stands for the losses that are known here."""
+        """Checksum of the losses known here."""
         return self._book.checksum
 
     def note_compared(self) -> None:
-        """Note that a peer that is informed has told what it knows, or that it knows the same."""
+        """Record that an informed peer has sent its losses or has the same ones."""
         self.is_informed = True
 
     def take_recorded(self, losses: Iterable[Loss]) -> None:
-        """Take what the store has recorded."""
+        """Add the losses that are recorded in the store."""
         self.is_informed = True
         self._book.merge(losses, self._clock.seconds())
 
     def tell_all(self, address: tuple[str, int]) -> None:
-        """Tell a box the losses that are known here."""
+        """Send all known losses to a box."""
         now_s = self._clock.seconds()
         notes = [note_of_loss(loss, now_s) for loss in self._book.shared()]
         self._port.tell_losses(notes, address)
 
-    def take(self, told: Gossip) -> None:
-        """Take the losses that a peer tells."""
-        if told.losses:
+    def take(self, message: Gossip) -> None:
+        """Add the losses in a peer's message."""
+        if message.losses:
             now_s = self._clock.seconds()
-            losses = (loss_of(note, now_s) for note in told.losses)
+            losses = (loss_of(note, now_s) for note in message.losses)
             self._book.merge([loss for loss in losses if loss is not None], now_s)
 
-    def _tell_thrice(self, losses: list[Loss]) -> None:
+    def _tell_repeatedly(self, losses: list[Loss]) -> None:
         if not losses:
             return
         self._tell(losses)
-        for after_s in TOLD_AGAIN_S:
+        for after_s in RESEND_DELAYS_S:
             self._clock.callLater(after_s, self._tell, losses)
 
     def _tell(self, losses: list[Loss]) -> None:
@@ -183,7 +187,7 @@
 
 
 def note_of_loss(loss: Loss, now_s: float) -> LossNote:
-    """Return the note that tells peers of a loss."""
+    """Return the note that sends a loss to peers."""
     age_s = now_s - loss.at_s
     return LossNote(
         loss.digest, *loss.start, int(loss.verdict), age_s, loss.route, loss.organisation
@@ -191,7 +195,7 @@
 
 
 def loss_of(note: LossNote, now_s: float) -> Loss | None:
-    """Return the loss that a peer's note tells; None if it makes no sense."""
+    """Return the loss in a peer's note; None if the note is invalid."""
     known = {int(verdict) for verdict in Verdict}
     if not note.digest or not note.target or note.verdict not in known:
         return None
--- a/gladedrum/placing/tests/test_misses.py
+++ b/gladedrum/placing/tests/test_misses.py
@@ -7,7 +7,7 @@
 from gladedrum.gossip.wire.ttypes import Gossip, ReportNote
 from gladedrum.placing import reports
 from gladedrum.placing.fleet_view import FleetView
-from gladedrum.placing.reports import INTERVAL_S, SECOND_S, ReportReader
+from gladedrum.placing.reports import INTERVAL_S, SECOND_READER_AGE_S, ReportReader
 from gladedrum.utils import start
 
 ENGINE = TargetEntry("t0", "s", "10.0.0.1", 1, "h", 6, False)
@@ -30,7 +30,7 @@
         told_of = ReportNote(ENGINE.name, True, 0, 0, 1.0, 0)
         view.take(Gossip(reports=[told_of]), {ENGINE.name}, clock.seconds())
         clock.advance(INTERVAL_S)
-    for _ in range(round(SECOND_S / INTERVAL_S)):
+    for _ in range(round(SECOND_READER_AGE_S / INTERVAL_S)):
         clock.advance(INTERVAL_S)
     assert not told
     clock.advance(INTERVAL_S)
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -5,7 +5,7 @@
 from gladedrum import gossip
 from gladedrum.beliefs.circle import ASK_S, CIRCLE_SIZE, READERS, SMALL_FLEET, Circle
 from gladedrum.forward.tests.support import World
-from gladedrum.placing.placer import ASKED, COLD_S
+from gladedrum.placing.placer import MAX_MEMBERS_ASKED, WARM_UP_S
 from gladedrum.placing.work_plan import WorkPlan, work_id_of
 from gladedrum.platform import wire as platform_wire
 from gladedrum.scheduling.engine_model import EngineTraits
@@ -87,7 +87,7 @@
     outside, _inside, wire = two_boxes()
     wire.lost = True
     outside.caller().ask(b"body")
-    outside.run(ASK_S * ASKED + 0.01, step_s=0.01)
+    outside.run(ASK_S * MAX_MEMBERS_ASKED + 0.01, step_s=0.01)
     assert len(outside.net.opened) == 1
     before = wire.sent
     outside.caller().ask(b"body")
@@ -143,7 +143,7 @@
     outside.caller().ask(b"body")
     outside.run(0.01, step_s=0.001)
     # Both members asked are cold; the first is asked again and decides all the same.
-    assert wire.sent == 2 * (ASKED + 1)
+    assert wire.sent == 2 * (MAX_MEMBERS_ASKED + 1)
     assert sum(len(inside.view.state(name).ledger.rows) for name in ("t1", "t2")) == 1
 
 
@@ -181,7 +181,7 @@
 def test_a_box_is_cold_until_it_has_heard_of_all_work_for_a_while():
     world = World()
     assert world.ctx.placer._is_cold()
-    world.run(COLD_S + 0.1)
+    world.run(WARM_UP_S + 0.1)
     assert not world.ctx.placer._is_cold()
     world.ctx.placer._circle.members = lambda: ["other"]
     assert world.ctx.placer._is_cold()
@@ -224,7 +224,7 @@
 
     wire.write = hold
     outside.caller().ask(b"body")
-    outside.run(ASK_S * ASKED + 0.1, step_s=0.01)
+    outside.run(ASK_S * MAX_MEMBERS_ASKED + 0.1, step_s=0.01)
     wire.write = deliver
 
 
@@ -233,9 +233,9 @@
     outside, inside, wire = two_boxes()
     held = []
     ask_slowly(outside, wire, held)
-    assert len(held) == ASKED
+    assert len(held) == MAX_MEMBERS_ASKED
     assert len(outside.net.opened) == 1
-    assert rows_of(inside) == ASKED
+    assert rows_of(inside) == MAX_MEMBERS_ASKED
     outside.port._peers = lambda: [("10.0.1.1", 2)]
     for data, address in held:
         wire.write(data, address)
@@ -249,11 +249,11 @@
     held = []
     ask_slowly(outside, wire, held)
     members = outside.ctx.placer._members
-    asked = set(members._shunned_until_s)
-    assert len(asked) == ASKED
+    asked = set(members._avoided_until_s)
+    assert len(asked) == MAX_MEMBERS_ASKED
     for data, address in held:
         wire.write(data, address)
-    assert not members._shunned_until_s
+    assert not members._avoided_until_s
     assert all(members._times.wait_s(member) > ASK_S for member in asked)
 
 
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -5,7 +5,7 @@
 from gladedrum.connections.target_pool import NotNowError
 from gladedrum.forward.tests.support import World
 from gladedrum.gossip.wire.ttypes import Gossip, LeavingNote
-from gladedrum.placing.fleet_view import LONGEST_REST_S
+from gladedrum.placing.fleet_view import MAX_REST_S
 from gladedrum.platform.orders import CallKind
 from gladedrum.platform.statements import OddStatement, Statements
 
@@ -90,8 +90,8 @@
 
 def test_days_of_rest_end_within_minutes(world):
     say(world, Statements(rest_s=9e8))
-    assert world.statements.rest_s("t1") == LONGEST_REST_S
-    world.net.advance(LONGEST_REST_S)
+    assert world.statements.rest_s("t1") == MAX_REST_S
+    world.net.advance(MAX_REST_S)
     assert let_out(world) == set(CallKind)
 
 
@@ -148,5 +148,5 @@
     odd = [Statements(odd=(OddStatement("rest_s", text),)) for text in ("soon", "soon", "later")]
     for said in odd:
         say(world, said)
-    lines = [row for row in caplog.records if row.message == "target says what can't be read"]
+    lines = [row for row in caplog.records if row.message == "unreadable statement from target"]
     assert [row.said for row in lines] == ["soon", "later"]
--- a/gladedrum/placing/work_plan.py
+++ b/gladedrum/placing/work_plan.py
@@ -1,4 +1,4 @@
-"""What is placed where, the same for ledgers and for peers: plans, their ids, and their notes."""
+"""Work plans: what is placed on which targets, in the form that ledgers and peers share."""
 
 from dataclasses import dataclass
 
@@ -11,30 +11,30 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkPlan:
-    """What is placed where; the same for the ledger and for peers.
+    """A placement as recorded in ledgers and sent to peers.
 
     Parameters
     ----------
     work_id : str
-        Unique to the try.
+        Unique to the attempt.
     targets : tuple of str
-        The target that answers, then those that help.
+        The target that answers, then its helpers.
     prompt_tokens, answer_tokens : int
-        The size of the request.
+        Size of the request.
     value : float
-        Its worth in time.
+        Credit for serving it in time.
     first_due_in_s : float
         Seconds until its first event is due.
     pause_limit_s : float
-        The longest pause that is aimed at.
+        Target value of the longest pause between events, in seconds.
     reserved : bool
         Whether each target holds the part of the prompt that it reads.
     lost_in_s : float
-        Seconds until its caller leaves if no event has come.
+        Seconds until its caller leaves if no event has arrived.
     digest : bytes
-        Stands for the request if it is suspected to end targets, else empty.
+        Digest of the request's content if it is suspected of ending targets, else empty.
     alone : bool
-        Whether nothing else is to run beside it.
+        Whether no other request may run beside it.
     """
 
     work_id: str
@@ -50,7 +50,7 @@
     alone: bool = False
 
     def held_tokens(self, main: bool) -> float:
-        """Return the memory that it takes on the answering target, or on each helper."""
+        """Return the memory it takes on the answering target, or on each helper, in tokens."""
         answer = self.answer_tokens if main else 0
         if self.reserved:
             return self.prompt_tokens / len(self.targets) + answer
@@ -58,17 +58,17 @@
 
 
 def work_id_of(box: str, number: int) -> str:
-    """Return the id of a box's work; dots and what follows may be added to it."""
+    """Return the id of a box's work; suffixes that start with a dot may be appended."""
     return f"{box}_{number}"
 
 
 def box_of(work_id: str) -> str:
-    """Return the box whose work it is."""
+    """Return the box that an id of work belongs to."""
     return work_id.rpartition("_")[0]
 
 
 def note_of(plan: WorkPlan, change: int) -> WorkNote:
-    """Return the note that tells peers of a change."""
+    """Return the note that tells peers about a change of the work."""
     return WorkNote(
         plan.work_id,
         change,
@@ -86,7 +86,7 @@
 
 
 def plan_of(note: WorkNote) -> WorkPlan:
-    """Return the plan that a peer's note tells of."""
+    """Return the plan in a peer's note."""
     return WorkPlan(
         note.work_id or "",
         tuple(note.targets or ()),
