--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -119,14 +119,14 @@
             digest = bytes.fromhex(item.key.removeprefix(CONDEMNED_PREFIX))
             row = json.loads(item.value or b"")
             starts = [TargetStart(str(name), int(born)) for name, born in row["starts"]]
-            whose = str(row["route"]), str(row["organisation"])
+            route_and_organisation = str(row["route"]), str(row["organisation"])
         except (ValueError, KeyError, TypeError) as exc:
             extra = {"key": item.key, "reason": repr(exc)}
             _log.error("invalid record of a condemned request", extra=extra)
             return
         now_s = self._clock.seconds()
         for target in starts:
-            yield Loss(digest, target, now_s, Verdict.ENDED, *whose)
+            yield Loss(digest, target, now_s, Verdict.ENDED, *route_and_organisation)
 
     def _note_condemned(self, row: Condemned) -> None:
         if row.digest not in self._recorded and self._is_reader():
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -1,7 +1,7 @@
-"""How boxes that start, or have missed a datagram, learn which requests end targets.
+"""How boxes that start, or miss a datagram, learn which requests end targets.
 
-What a box alone remembers is lost with it: after a loss of the whole fleet each such request would
-end three more targets, and again after the next one. Nine boxes, in virtual time.
+Guards against losing that knowledge with the boxes: each condemned request would then end three
+more targets after every loss of a whole fleet. Nine boxes, in virtual time.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 class SuspectingBox(VirtualBox):
-    """A box that notes losses, tells its peers, and keeps the record."""
+    """A box that records losses, notifies its peers, and keeps the record."""
 
     def __init__(self, *args):
         self.view = FleetView()
@@ -43,7 +43,7 @@
         return Suspicion(self.fleet.clock, self.view, self.beliefs.targets, self.port)
 
     def lose(self, target, digest=BAD):
-        """Lose a request with a target that ends, as this box's own requests do."""
+        """Lose a request together with a target that ends, as a box's own requests do."""
         self.losses.note_lost(digest, [target], "r", "org")
         for box in self.fleet.boxes.values():
             box.view.note_refused(target, "somebody", self.fleet.clock.seconds())
@@ -85,13 +85,13 @@
             self.start(number)
 
 
-def test_three_boxes_that_have_lost_it_once_each_know_it_all_at_once():
+def test_losses_on_three_boxes_condemn_the_request_on_all_boxes_at_once():
     fleet = SuspectingFleet()
     fleet.condemn()
     assert set(fleet.standings()) == {Standing.CONDEMNED}
 
 
-def test_it_is_recorded_by_the_readers_alone_and_only_once():
+def test_only_the_readers_write_the_record_and_only_once():
     fleet = SuspectingFleet()
     before = fleet.store.calls["write"]
     fleet.condemn(1, 2, 3, 4, 5)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_with_a_third_of_all_datagrams_lost_it_is_known_in_time(seed):
+def test_all_boxes_know_it_in_time_with_a_third_of_datagrams_lost(seed):
     fleet, rng = SuspectingFleet(), random.Random(seed)
     fleet.lost = lambda: rng.random() < 0.33
     fleet.condemn()
@@ -109,7 +109,7 @@
     assert set(fleet.standings()) == {Standing.CONDEMNED}
 
 
-def test_a_box_that_starts_has_it_from_its_seeds_without_a_call():
+def test_a_starting_box_learns_it_from_its_seeds_without_a_store_call():
     fleet = SuspectingFleet()
     fleet.condemn()
     before = fleet.store.listed[CONDEMNED_PREFIX]
@@ -122,7 +122,7 @@
     assert fleet.store.listed[CONDEMNED_PREFIX] == before
 
 
-def test_a_fleet_that_is_lost_as_a_whole_has_it_from_the_store_in_time():
+def test_a_restarted_fleet_learns_it_from_the_store_in_time():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
@@ -133,7 +133,7 @@
     assert fleet.store.listed[CONDEMNED_PREFIX] - before <= 4
 
 
-def test_or_as_soon_as_the_store_is_back():
+def test_a_restarted_fleet_learns_it_once_the_store_is_available_again():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
@@ -146,7 +146,7 @@
     assert set(fleet.standings()) == {Standing.CONDEMNED}
 
 
-def test_one_that_an_operator_has_lifted_is_not_brought_back_by_a_peer_or_the_store():
+def test_a_lifted_request_is_not_restored_by_a_peer_or_the_store():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
@@ -160,7 +160,7 @@
     assert set(fleet.standings()) == {Standing.CLEAR}
 
 
-def test_the_record_ends_with_the_term():
+def test_the_record_expires_when_the_loss_no_longer_counts():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
@@ -168,7 +168,7 @@
     assert max(leases) == pytest.approx(KEPT_S, abs=2.0)
 
 
-def test_entries_of_another_writer_are_passed_over():
+def test_invalid_entries_in_the_store_are_skipped():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
@@ -180,7 +180,7 @@
     assert set(fleet.standings()) == {Standing.CONDEMNED}
 
 
-def test_what_a_peer_tells_that_makes_no_sense_is_passed_over():
+def test_invalid_notes_from_a_peer_are_skipped():
     fleet = SuspectingFleet(2)
     box = next(iter(fleet.boxes.values()))
     odd = [LossNote(), LossNote(BAD, "t1", 1, 9, 0.0), LossNote(BAD, None, 1, 1, 0.0)]
--- a/gladedrum/placing/tests/test_given_back.py
+++ b/gladedrum/placing/tests/test_given_back.py
@@ -1,14 +1,14 @@
-"""Repeats that a box had from its peers and gives back count on in the fleet's bound."""
+"""Repeats that were granted by peers and then returned stay within the fleet's retry budget."""
 
 from gladedrum.placing.tests.test_repeats import SLACK, SMALL_FLEET, WINDOW_S, pooled_fleet
 from gladedrum.utils import start
 
 CHECKED_S = 0.25
-"""How often the box that gave them back looks at its share, in seconds."""
+"""How often the returning box checks its share, in seconds."""
 
 
-def taken(pool, clock, most):
-    """Return the repeats that a box gets out of so many that it asks for."""
+def granted(pool, clock, most):
+    """Return the grants that a box gets when it asks for `most` repeats."""
     grants = []
     for _ in range(most):
         start(pool.take("s")).addCallback(grants.append)
@@ -16,13 +16,13 @@
     return [grant for grant in grants if grant is not None]
 
 
-def test_repeats_that_are_given_back_at_another_box_do_not_break_the_bound():
+def test_repeats_returned_at_another_box_do_not_exceed_the_budget():
     clock, pools = pooled_fleet(boxes=SMALL_FLEET)
     for pool in pools:
         pool.note_request("s")
     clock.advance(2 * WINDOW_S)
-    # Searches of one box for many streams at once: each had a repeat, and found no place.
-    for grant in taken(pools[0], clock, 200):
+    # One box takes repeats for many streams at once and finds no target for any of them.
+    for grant in granted(pools[0], clock, 200):
         pools[0].give_back("s", grant)
     for _ in range(round(WINDOW_S / CHECKED_S)):
         clock.advance(CHECKED_S)
@@ -30,7 +30,7 @@
     sent = 0
     for _ in range(100):
         for pool in pools:
-            while taken(pool, clock, 1):
+            while granted(pool, clock, 1):
                 sent += 1
         clock.advance(WINDOW_S / 100)
     assert sent <= SLACK
--- a/gladedrum/placing/tests/test_misses.py
+++ b/gladedrum/placing/tests/test_misses.py
@@ -1,4 +1,4 @@
-"""Questions for reports that fail in a row: a question long ago does not count with one now."""
+"""Only consecutive missing reports make an engine silent; an old miss does not count."""
 
 from twisted.internet.task import Clock
 
@@ -17,7 +17,7 @@
     raise TargetBrokenError("no answer")
 
 
-def test_a_question_that_failed_before_a_peer_told_of_reports_does_not_count(monkeypatch):
+def test_a_miss_before_a_peers_report_does_not_count(monkeypatch):
     monkeypatch.setattr(reports, "call_target", unanswered)
     clock, view = Clock(), FleetView()
     second = reports.order_of(ENGINE.name, ["a", "b"])[1]
--- a/gladedrum/placing/tests/test_peers_rows.py
+++ b/gladedrum/placing/tests/test_peers_rows.py
@@ -1,8 +1,7 @@
-"""Work that peers tell of is read at the speed of its own engines, not of the first deployment's.
+"""Work reported by peers progresses at the speed of its own engines, not of the default traits.
 
-Each note of a peer moved the ledger on by the figures of other engines, and a writer's progress was
-counted in their passes: on engines that read a quarter faster and share out pairs at two thirds of
-the cost, a long prompt seemed to be read for half as long again.
+Guards against ledgers that advance by the wrong traits at each note of a peer, so that prompts
+seem to be read more slowly than they are.
 """
 
 from dataclasses import replace
@@ -28,7 +27,7 @@
     return FleetView(lambda _target: traits)
 
 
-def test_a_prompt_is_read_at_its_engines_speed_however_many_notes_come():
+def test_a_prompt_is_read_at_its_engines_speed_regardless_of_the_number_of_notes():
     view = view_of(FAST)
     view.take(Gossip("peer", [placed("w1", 200_000)]), ["e1"], 0.0)
     own = EngineLedger()
@@ -41,10 +40,10 @@
     assert left == pytest.approx(own.rows["w1"].read_left)
 
 
-def test_a_writer_goes_on_in_its_engines_passes():
+def test_an_answer_progresses_by_its_engines_step_time():
     view = view_of(FAST)
     view.take(Gossip("peer", [placed("w1", 0)]), ["e1"], 0.0)
     view.take(Gossip("peer", [WorkNote("w1", gossip.FIRST_EVENT, ["e1"])]), ["e1"], 0.0)
     left = view.state("e1").ledger.rows["w1"].work(0.5, FAST).answer_left
-    # Some of the time is spent reading beside it.
+    # The engine spends part of the time on reading.
     assert 800 - 0.5 / FAST.step_s < left < 800 - 0.8 * 0.5 / FAST.step_s
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""In a large fleet a few boxes decide for all; without them a box decides alone."""
+"""In a large fleet a few boxes decide for all; if they don't answer, a box decides alone."""
 
 import itertools
 
@@ -14,7 +14,7 @@
 BOXES = {f"b{i}": ("10.0.1.1", i) for i in range(30)}
 
 
-def test_all_boxes_of_a_small_fleet_decide_and_a_few_of_a_large_one():
+def test_all_boxes_of_a_small_fleet_decide_and_a_few_boxes_of_a_large_one():
     small = dict(list(BOXES.items())[: SMALL_FLEET - 1])
     assert Circle("me", lambda: small).includes_me()
     members = {name: Circle(name, lambda n=name: _others(n)).members() for name in BOXES}
@@ -23,7 +23,7 @@
 
 
 def test_the_boxes_with_the_most_cores_decide_for_a_large_fleet():
-    """Hot spot: four boxes with a quarter of the cores of others could not keep up with a burst."""
+    """Guards against a hot spot: small boxes as deciders can't keep up with bursts."""
     large = {"b3", "b7", "b11", "b19", "b23"}
     capacity = {name: 2.15 if name in large else 0.516 for name in BOXES}
     circles = [Circle(name, lambda n=name: _others(n), capacity.get) for name in BOXES]
@@ -37,7 +37,7 @@
 
 
 class Datagrams:
-    """A transport that delivers to the box at the address, or loses all."""
+    """A transport that delivers to the box at the address, or drops everything."""
 
     def __init__(self, worlds):
         self.worlds = worlds
@@ -56,8 +56,8 @@
             world.net.advance(0)
 
 
-def two_boxes():
-    """Return a box outside the circle, one that answers for all members, and their wire."""
+def outside_and_inside_box():
+    """Return a box outside the group, a box that answers for all members, and their transport."""
     worlds = [
         World(targets=2, engine=EngineTraits(), streaming=True, resumable=True, max_targets=2)
         for _ in range(2)
@@ -74,8 +74,8 @@
     return outside, inside, wire
 
 
-def test_a_member_of_the_circle_places_the_request_and_remembers_it():
-    outside, inside, _wire = two_boxes()
+def test_a_decider_places_the_request_and_records_it():
+    outside, inside, _wire = outside_and_inside_box()
     outside.caller().ask(b"body")
     target = outside.attempt()
     name = f"t{target.place[1] - 9000}"
@@ -83,8 +83,8 @@
     assert len(outside.view.state(name).ledger.rows) == 1
 
 
-def test_a_silent_circle_costs_a_bounded_wait_and_then_the_box_decides_alone():
-    outside, _inside, wire = two_boxes()
+def test_silent_deciders_cost_a_bounded_wait_and_then_the_box_decides_alone():
+    outside, _inside, wire = outside_and_inside_box()
     wire.lost = True
     outside.caller().ask(b"body")
     outside.run(ASK_S * MAX_MEMBERS_ASKED + 0.01, step_s=0.01)
@@ -96,8 +96,8 @@
     assert wire.sent - before <= 2
 
 
-def test_a_target_that_leaves_here_is_not_used_though_the_circle_chose_it():
-    outside, inside, _wire = two_boxes()
+def test_a_target_known_here_as_leaving_is_not_used_even_if_a_decider_chose_it():
+    outside, inside, _wire = outside_and_inside_box()
     outside.list_targets(2, leaving=("t1",))
     inside.list_targets(1)
     outside.caller().ask(b"body")
@@ -106,8 +106,8 @@
 
 
 def test_long_prompts_are_placed_by_one_box_and_short_ones_by_each_of_a_small_fleet():
-    """Found on a quiet day: two dossiers took the same idle engines at the same moment."""
-    outside, inside, wire = two_boxes()
+    """Guards against two long prompts placed on the same idle engines at the same moment."""
+    outside, inside, wire = outside_and_inside_box()
     outside.ctx.placer._circle.includes_me = lambda: True
     outside.ctx.placer._circle.arbiters = lambda: ["m1"]
     outside.ctx.placer._is_cold = lambda: False
@@ -121,7 +121,7 @@
     assert sum(len(inside.view.state(name).ledger.rows) for name in ("t1", "t2")) > 0
 
 
-def test_two_boxes_of_a_small_fleet_read_the_list_and_all_agree_which():
+def test_all_boxes_of_a_small_fleet_agree_on_the_two_that_read_the_list():
     names = {f"b{i}": ("10.0.0.1", i) for i in range(9)}
     circles = [
         Circle(me, lambda me=me: {n: a for n, a in names.items() if n != me}) for me in names
@@ -131,25 +131,25 @@
     assert not Circle("alone", dict).leaves_list_to_others()
 
 
-def test_all_boxes_that_know_the_same_name_the_same_arbiter():
+def test_boxes_with_the_same_knowledge_agree_on_the_arbiter():
     arbiters = {Circle(name, lambda n=name: _others(n)).arbiters()[0] for name in BOXES}
     assert len(arbiters) == 1
 
 
-def test_a_member_that_has_just_started_leaves_decisions_to_those_that_know_the_work():
-    """Found on a grown day with restarts: members without a ledger sent all to the same engines."""
-    outside, inside, wire = two_boxes()
+def test_a_cold_member_leaves_decisions_to_members_that_know_the_work():
+    """Guards against members with an empty ledger that send all work to the same engines."""
+    outside, inside, wire = outside_and_inside_box()
     inside.ctx.placer._is_cold = lambda: True
     outside.caller().ask(b"body")
     outside.run(0.01, step_s=0.001)
-    # Both members asked are cold; the first is asked again and decides all the same.
+    # Both members asked are cold; the first is asked again and then decides.
     assert wire.sent == 2 * (MAX_MEMBERS_ASKED + 1)
     assert sum(len(inside.view.state(name).ledger.rows) for name in ("t1", "t2")) == 1
 
 
-def test_a_member_that_goes_while_it_is_asked_is_passed_over():
-    """Found by an incident: after a restart of all boxes requests were cut without an answer."""
-    outside, inside, wire = two_boxes()
+def test_a_member_that_disappears_while_it_is_asked_is_skipped():
+    """Guards against requests that are cut without an answer after a restart of all boxes."""
+    outside, inside, wire = outside_and_inside_box()
     inside.ctx.placer._is_cold = lambda: True
     addresses = {"m1": ("10.0.1.1", 2), "m2": ("10.0.1.1", 2), "m3": ("10.0.1.1", 2)}
     outside.ctx.placer._circle = circle = Circle("me", lambda: addresses)
@@ -169,7 +169,7 @@
 
 
 def test_a_cold_member_places_requests_for_plain_services_itself():
-    """What a plain service has to do is told quickly; a silent peer would cost more."""
+    """Plain services need no ledger of long work, and a silent peer would cost more time."""
     world = World()
     world.ctx.placer._circle.members = lambda: ["other", "me"]
     world.ctx.placer._circle.address = lambda _name: ("10.0.1.1", 2)
@@ -178,7 +178,7 @@
     assert len(world.net.opened) == 1
 
 
-def test_a_box_is_cold_until_it_has_heard_of_all_work_for_a_while():
+def test_a_box_is_cold_until_it_has_received_notes_on_all_work_for_the_warm_up_time():
     world = World()
     assert world.ctx.placer._is_cold()
     world.run(WARM_UP_S + 0.1)
@@ -187,8 +187,8 @@
     assert world.ctx.placer._is_cold()
 
 
-def test_boxes_that_know_nothing_of_each_other_take_different_ones_of_equal_targets():
-    """Found on a grown day: after a loss of all power all boxes took the first target by name."""
+def test_boxes_without_knowledge_of_each_other_spread_over_equal_targets():
+    """Guards against all boxes picking the first target by name after a fleet restart."""
     taken = set()
     for index in range(8):
         world = World(targets=8, engine=EngineTraits(), streaming=True, resumable=True)
@@ -198,8 +198,8 @@
     assert len(taken) >= 4
 
 
-def test_a_member_that_sees_no_hope_says_when_to_come_back():
-    outside, inside, _wire = two_boxes()
+def test_a_decider_that_can_not_serve_in_time_says_when_to_retry():
+    outside, inside, _wire = outside_and_inside_box()
     for name, again in itertools.product(inside.targets.entries, range(8)):
         plan = WorkPlan(f"{name}-{again}", (name,), 200_000, 0)
         inside.view.note_placed(plan, inside.net.seconds())
@@ -212,7 +212,7 @@
 
 
 def ask_slowly(outside, wire, held):
-    """Ask for a place while the members' answers are held back; they end up in `held`."""
+    """Ask for a placement while the members' answers are held back; they are added to `held`."""
     deliver = wire.write
 
     def hold(data, address):
@@ -228,9 +228,9 @@
     wire.write = deliver
 
 
-def test_work_that_a_member_has_placed_too_late_is_withdrawn():
-    """Metastable failure: work that ran elsewhere stayed in the ledgers, which placed by it."""
-    outside, inside, wire = two_boxes()
+def test_a_placement_that_arrives_too_late_is_withdrawn():
+    """Guards against metastable failure: ledgers that keep counting work that runs elsewhere."""
+    outside, inside, wire = outside_and_inside_box()
     held = []
     ask_slowly(outside, wire, held)
     assert len(held) == MAX_MEMBERS_ASKED
@@ -244,8 +244,8 @@
     assert rows_of(outside) == 1
 
 
-def test_a_member_whose_answer_was_late_is_asked_again_and_waited_for_longer():
-    outside, _inside, wire = two_boxes()
+def test_a_late_answer_makes_its_member_available_again_with_a_longer_timeout():
+    outside, _inside, wire = outside_and_inside_box()
     held = []
     ask_slowly(outside, wire, held)
     members = outside.ctx.placer._members
@@ -257,8 +257,8 @@
     assert all(members._times.wait_s(member) > ASK_S for member in asked)
 
 
-def test_a_choice_that_can_not_be_followed_is_withdrawn():
-    outside, inside, _wire = two_boxes()
+def test_a_choice_that_can_not_be_used_is_withdrawn():
+    outside, inside, _wire = outside_and_inside_box()
     outside.list_targets(0)
     outside.port._peers = lambda: [("10.0.1.1", 2)]
     outside.caller().ask(b"body")
@@ -266,8 +266,8 @@
     assert rows_of(inside) == 0
 
 
-def test_a_member_with_more_questions_than_it_can_answer_says_so_at_once():
-    outside, inside, _wire = two_boxes()
+def test_an_overloaded_member_answers_busy_at_once():
+    outside, inside, _wire = outside_and_inside_box()
     inside.ctx.placer._questions = WaitingQuestions(-1.0)
     outside.caller().ask(b"body")
     outside.run(0.005, step_s=0.001)
@@ -275,7 +275,7 @@
     assert rows_of(inside) == 0
 
 
-def test_work_of_a_box_that_has_started_anew_is_forgotten():
+def test_work_of_a_restarted_box_is_dropped():
     world = World(targets=2)
     for box, number in (("b1.aa", 1), ("b1.aa", 2), ("b2.bb", 1)):
         plan = WorkPlan(f"{work_id_of(box, number)}.1", ("t1",), 5_000, 100)
--- a/gladedrum/placing/tests/test_reborn.py
+++ b/gladedrum/placing/tests/test_reborn.py
@@ -1,8 +1,7 @@
-"""An engine that starts again under its own name: what was believed of its earlier start ends.
+"""An engine that restarts under its own name: the state of its earlier start is discarded.
 
-Seen on a day with engines that crashed behind a cut and started again: 7 of 22 reservations were
-for nobody, engines turned 46 of 774 requests away, and 119 of 626 short streams were late by 1.1 to
-2.5 s; boxes placed by the work, the memory and the pace of processes that were gone.
+Guards against placement by the work, memory and pace of a process that is gone, which wastes
+reservations, refuses requests and delays streams.
 """
 
 import pytest
@@ -21,7 +20,7 @@
 
 @pytest.fixture
 def view():
-    """A view in which the old start of an engine has work, a pace and has failed a request."""
+    """A view in which the old start of an engine has work, a pace and one failed request."""
     view = FleetView()
     view.reborn = []
     view.on_reborn = view.reborn.append
@@ -31,58 +30,58 @@
     return view
 
 
-def is_fresh(view):
+def is_reset(view):
     state = view.state("e1")
     rows = state.ledger.rows
     return not rows and not state.distrust_at(13.0) and not state.unknown_tokens()
 
 
-def test_a_report_of_a_later_start_ends_what_was_believed_of_the_earlier_one(view):
+def test_a_report_of_a_later_start_discards_the_state_of_the_earlier_one(view):
     view.note_report("e1", report(NEW), 13.0)
-    assert is_fresh(view)
+    assert is_reset(view)
     assert view.state("e1").report.pace == 1.0
     assert view.reborn == ["e1"]
 
 
-def test_so_does_an_entry(view):
+def test_an_entry_of_a_later_start_discards_the_state_of_the_earlier_one(view):
     view.note_born("e1", NEW, 13.0)
-    assert is_fresh(view)
+    assert is_reset(view)
     assert view.state("e1").report is None
     assert view.reborn == ["e1"]
 
 
-def test_so_does_a_peers_note(view):
+def test_a_peers_note_of_a_later_start_discards_the_state_of_the_earlier_one(view):
     note = ReportNote("e1", True, 0, 0, 1.0, 0, False, NEW)
     view.take(Gossip("peer", [], [note]), ["e1"], 13.0)
-    assert is_fresh(view)
+    assert is_reset(view)
     assert view.reborn == ["e1"]
 
 
-def test_work_placed_right_before_the_news_may_be_on_the_later_start_and_stays(view):
+def test_work_placed_right_before_the_restart_is_known_is_kept(view):
     view.note_placed(WorkPlan("w2", ("e1",), 5_000, 100), 12.9)
     view.note_report("e1", report(NEW), 13.0)
     assert set(view.state("e1").ledger.rows) == {"w2"}
 
 
-def test_a_late_report_of_the_earlier_start_changes_nothing(view):
+def test_a_late_report_of_the_earlier_start_is_ignored(view):
     view.note_report("e1", report(NEW), 13.0)
     view.note_report("e1", report(OLD, pace=3.0, used=90_000), 13.1)
     note = ReportNote("e1", True, 3, 3, 3.0, 90_000, False, OLD)
     view.take(Gossip("peer", [], [note]), ["e1"], 13.1)
     view.note_born("e1", OLD, 13.2)
-    assert is_fresh(view)
+    assert is_reset(view)
     assert view.state("e1").report.pace == 1.0
     assert view.state("e1").born == NEW
     assert view.reborn == ["e1"]
 
 
-def test_a_late_note_that_the_earlier_start_was_silent_changes_nothing(view):
+def test_a_late_note_that_the_earlier_start_was_silent_is_ignored(view):
     view.note_report("e1", report(NEW), 13.0)
     view.take(Gossip("peer", [], [ReportNote("e1", False, born=OLD)]), ["e1"], 15.0)
     assert not view.state("e1").is_suspect
 
 
-def test_an_engine_that_does_not_say_when_it_started_is_the_same(view):
+def test_a_report_without_a_start_keeps_the_state(view):
     view.note_report("e1", report(0, pace=2.0), 13.0)
     view.note_born("e1", 0, 13.0)
     assert "w1" in view.state("e1").ledger.rows
@@ -90,7 +89,7 @@
     assert view.reborn == []
 
 
-def test_an_engine_of_which_only_the_entry_said_so_is_not_reborn_by_its_first_report():
+def test_a_first_report_with_the_start_of_the_entry_is_no_restart():
     view = FleetView()
     view.on_reborn = lambda _target: pytest.fail("it has started once")
     view.note_report("e1", report(0), 10.0)
--- a/gladedrum/placing/tests/test_refusing_engine.py
+++ b/gladedrum/placing/tests/test_refusing_engine.py
@@ -1,7 +1,7 @@
-"""An engine whose process is killed refuses connections: how soon the other boxes know.
+"""An engine whose process is killed refuses connections; other boxes must learn of it quickly.
 
-Seen: its reader knew after two questions, the other boxes only 1.4 s after its last report, since
-what the reader told them did not tell a refused connection from a link that is cut.
+Guards against notes that do not distinguish a refused connection from a broken link, so that
+peers suspect the engine only when its reports are old.
 """
 
 import pytest
@@ -16,7 +16,10 @@
 
 
 class RefusingFleet(ReadingFleet):
-    """Engines that are `dead` refuse all; each pair in `refused` of a box and an engine does."""
+    """A fleet whose engines refuse connections.
+
+    Engines in `dead` refuse all boxes; each pair of a box and an engine in `refused` is refused.
+    """
 
     def __init__(self):
         self.refused: set[tuple[str, str]] = set()
@@ -29,7 +32,7 @@
         return await super().answer(clock, box, entry, call, timeout_s)
 
 
-def test_an_engine_that_refuses_connections_is_suspected_by_all_after_two_reports(monkeypatch):
+def test_an_engine_that_refuses_connections_is_suspected_by_all_boxes_soon(monkeypatch):
     fleet = RefusingFleet()
     monkeypatch.setattr(reports, "call_target", fleet.answer)
     fleet.run(7.0)
@@ -41,7 +44,7 @@
     assert max(took) <= 1.0
 
 
-def test_an_engine_whose_reader_alone_is_refused_is_suspected_by_no_other_box(monkeypatch):
+def test_an_engine_that_refuses_only_its_reader_is_suspected_by_no_other_box(monkeypatch):
     fleet = RefusingFleet()
     monkeypatch.setattr(reports, "call_target", fleet.answer)
     fleet.run(7.0)
@@ -53,7 +56,7 @@
         assert not any("t0" in box.suspects() for box in others)
 
 
-def test_a_refused_connection_is_told_from_a_silent_one():
+def test_a_refused_connection_raises_its_own_error():
     world = World(targets=1)
     world.net.refusing = {9001}
     ended = []
--- a/gladedrum/placing/tests/test_repeats.py
+++ b/gladedrum/placing/tests/test_repeats.py
@@ -1,4 +1,4 @@
-"""All boxes together stay within the fleet's bound, with boxes coming and going."""
+"""All boxes together stay within the fleet's retry budget while boxes stop and start."""
 
 import random
 
@@ -22,7 +22,7 @@
     per_s=st.integers(0, 40),
     restarts=st.lists(st.integers(0, 11), max_size=6),
 )
-def test_no_window_holds_more_repeats_than_the_fleet_may_send(boxes, per_s, restarts):
+def test_no_window_holds_more_repeats_than_the_budget(boxes, per_s, restarts):
     def fresh():
         return RepeatShares(RATIO, SLACK, WINDOW_S, lambda: boxes)
 
@@ -44,20 +44,20 @@
         assert len(inside) <= RATIO * len(served) + SLACK
 
 
-def test_a_box_that_starts_has_nothing_to_spend():
+def test_a_starting_box_has_an_empty_share():
     assert not RepeatShares(RATIO, SLACK, WINDOW_S, lambda: 1).take("s", 0.0)
 
 
 LARGE_FLEET, SMALL_FLEET = 300, 9
 
 
-def noted_in(granted):
-    """Return a callback that notes whether a repeat was granted."""
+def append_result_to(granted):
+    """Return a callback that appends whether a repeat was granted."""
     return lambda grant: granted.append(grant is not None)
 
 
 def pooled_fleet(lost=False, boxes=LARGE_FLEET):
-    """Return the boxes of a fleet and their clock."""
+    """Return the clock and the retry pools of a fleet's boxes."""
     clock = Clock()
     addresses = {f"b{i}": ("10.0.1.1", i) for i in range(boxes)}
     pools = []
@@ -84,19 +84,19 @@
 
 
 def sent_by(clock, pools, seconds):
-    """Return how many repeats all boxes get that try all the time."""
+    """Return how many repeats the boxes get if all ask once per second."""
     count = 0
     for _ in range(seconds):
         clock.advance(1.0)
         for pool in pools:
             granted = []
-            start(pool.take("s")).addCallback(noted_in(granted))
+            start(pool.take("s")).addCallback(append_result_to(granted))
             clock.advance(0)
             count += granted == [True]
     return count
 
 
-def test_a_large_fleet_stays_within_its_slack_and_can_use_it_where_it_is_needed():
+def test_a_large_fleet_stays_within_its_slack_and_one_box_can_use_much_of_it():
     clock, pools = pooled_fleet()
     sent_by(clock, pools, 20)
     everywhere = sent_by(clock, pools, 10)
@@ -111,18 +111,18 @@
 
 
 @pytest.mark.parametrize("boxes", [SMALL_FLEET, LARGE_FLEET])
-def test_a_member_that_does_not_answer_costs_a_bounded_wait(boxes):
+def test_silent_members_cost_a_bounded_wait(boxes):
     clock, pools = pooled_fleet(lost=True, boxes=boxes)
     asking = next((pool for pool in pools if pool._circle.excludes_me()), pools[0])
     granted = []
-    start(asking.take("s")).addCallback(noted_in(granted))
+    start(asking.take("s")).addCallback(append_result_to(granted))
     clock.advance(ASK_S)
     assert not granted
     clock.advance(ASK_S)
     assert granted == [False]
 
 
-def test_a_member_without_repeats_left_or_without_an_answer_is_not_the_last_word():
+def test_a_second_member_is_asked_if_the_first_grants_no_repeat():
     clock, pools = pooled_fleet()
     outside = next(pool for pool in pools if pool._circle.excludes_me())
     members = [pool for pool in pools if pool._circle.includes_me()]
@@ -130,7 +130,7 @@
         pool._shares.take = lambda _service, _now_s, pool=pool: pool is members[0]
     granted = []
     for _ in range(200):
-        start(outside.take("s")).addCallback(noted_in(granted))
+        start(outside.take("s")).addCallback(append_result_to(granted))
     clock.advance(0)
     assert len(granted) == 200
     # Two of the four members are asked, one of which has repeats left.
@@ -140,13 +140,13 @@
 def granted_to(pool, clock):
     """Return whether a box gets a repeat."""
     granted = []
-    start(pool.take("s")).addCallback(noted_in(granted))
+    start(pool.take("s")).addCallback(append_result_to(granted))
     clock.advance(0)
     return granted == [True]
 
 
-def test_a_box_that_has_just_started_has_repeats_while_its_peers_have():
-    """All 11 refusals in two runs of planned stops came 0.8 to 8.5 s after a start of the box."""
+def test_a_box_that_has_just_started_gets_repeats_from_its_peers():
+    """Guards against refused repeats within one window after the start of a box."""
     clock, pools = pooled_fleet(boxes=SMALL_FLEET)
     started, *peers = pools
     for peer in peers:
@@ -163,10 +163,8 @@
     restarts=st.lists(st.integers(0, 11), max_size=6),
     only=st.sets(st.integers(0, 11), min_size=1),
 )
-def test_repeats_that_boxes_have_from_each_other_stay_within_the_bound(
-    boxes, per_s, restarts, only
-):
-    """Some boxes send as many repeats as they get, their own and their peers', others none."""
+def test_repeats_granted_by_peers_stay_within_the_budget(boxes, per_s, restarts, only):
+    """Some boxes send all repeats that they can get, also from peers; others send none."""
     clock, pools = pooled_fleet(boxes=boxes)
     sent, asked = [], []
     for tick in range(300):
@@ -193,10 +191,10 @@
     away=st.integers(1, 60),
     greedy_from=st.integers(0, 150),
 )
-def test_the_bound_holds_while_boxes_stop_and_the_others_split_the_slack(
+def test_the_budget_holds_while_boxes_stop_and_the_others_split_the_slack(
     boxes, every, away, greedy_from
 ):
-    """A box that has ended counts no more at once: its share is split, what it sent stays sent."""
+    """A stopped box no longer counts: its share is split again, but what it sent stays sent."""
     live = dict.fromkeys(range(boxes))
 
     def fresh():
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -1,7 +1,7 @@
-"""Who reads engines' reports, and what is believed of an engine when its reader goes.
+"""Who reads engines' reports, and the suspicion of engines when their reader stops.
 
-Patterns: a false suspicion (the messenger's absence is taken for a fault of the target), and a
-probe storm in its wake. The fleet has nine boxes and 18 engines, in virtual time.
+Guards against false suspicion (the absence of the reader is taken for a fault of the engine) and
+the probe storm that would follow. Nine boxes and 18 engines, in virtual time.
 """
 
 import pytest
@@ -16,13 +16,13 @@
 
 BOXES, ENGINES = 9, 18
 ANSWER_S = 0.003
-"""A report and back."""
-SERVES_ON_S = 4.0
-"""From the signal to a planned stop until the process ends."""
+"""Round-trip time of a report, in seconds."""
+PLANNED_STOP_S = 4.0
+"""Time from the signal for a planned stop to the end of the process, in seconds."""
 
 
 class ReadingBox(VirtualBox):
-    """A box that reads reports and takes those of its peers."""
+    """A box that reads reports and processes those of its peers."""
 
     def __init__(self, *args):
         self.view = FleetView()
@@ -49,9 +49,9 @@
 
 
 class ReadingFleet(VirtualFleet):
-    """Boxes and engines; `asked` holds who asked which engine and when.
+    """Boxes and engines; `asked` records which box asked which engine, and when.
 
-    Engines that are `dead` answer nobody; each pair of a box and an engine in `cut` has no link.
+    Engines in `dead` answer no box; each pair of a box and an engine in `cut` has no link.
     """
 
     box_class = ReadingBox
@@ -63,7 +63,7 @@
         super().__init__(BOXES, ENGINES)
 
     async def answer(self, clock, box, entry, _call, timeout_s):
-        """Stand for `call_target`; the box is passed as its pool."""
+        """Replace `call_target`; the box is passed as its pool."""
         name = box.beliefs.circle.me
         self.asked.append((clock.seconds(), name, entry.name))
         if entry.name in self.dead or (name, entry.name) in self.cut:
@@ -73,12 +73,12 @@
         return CallAnswer(200, b"{}")
 
     def reader_of(self, engine):
-        """Return the box that asked an engine last."""
+        """Return the box that last asked an engine."""
         name = [box for _at_s, box, target in self.asked if target == engine][-1]
         return next(box for box in self.boxes.values() if box.beliefs.circle.me == name)
 
     def suspected_within(self, seconds):
-        """Return each engine that any box suspects at some time."""
+        """Return all engines that any box suspects at some time in the next `seconds`."""
         seen = set()
         for _ in range(round(seconds / 0.02)):
             self.run(0.02)
@@ -86,7 +86,7 @@
         return seen
 
     def until_all_suspect(self, engine, most_s):
-        """Return after how many seconds all boxes suspect an engine."""
+        """Return the seconds until all boxes suspect an engine; fail after `most_s`."""
         before_s = self.clock.seconds()
         while not all(engine in box.suspects() for box in self.boxes.values()):
             self.run(0.02)
@@ -103,32 +103,32 @@
     return fleet
 
 
-def asks_within(fleet, seconds):
+def count_asks(fleet, seconds):
     before = len(fleet.asked)
     fleet.run(seconds)
     return len(fleet.asked) - before
 
 
-def test_in_calm_times_each_engine_is_asked_by_one_box(fleet):
-    assert asks_within(fleet, 4.0) <= ENGINES * (4.0 / INTERVAL_S + 1)
+def test_each_engine_is_normally_asked_by_one_box(fleet):
+    assert count_asks(fleet, 4.0) <= ENGINES * (4.0 / INTERVAL_S + 1)
     assert len({(box, target) for _at_s, box, target in fleet.asked}) == ENGINES
 
 
-def test_no_engine_is_suspected_since_its_reader_has_stopped(fleet):
-    """The engines of a box that stopped were suspect at all others for 1.6 of the next 6 s."""
+def test_no_engine_is_suspected_after_a_planned_stop_of_its_reader(fleet):
+    """Guards against false suspicion by all other boxes after a planned stop."""
     fleet.run(1.0)
     reader = fleet.reader_of("t0")
     reader.leave()
-    suspected = fleet.suspected_within(SERVES_ON_S)
+    suspected = fleet.suspected_within(PLANNED_STOP_S)
     reader.end()
     assert suspected | fleet.suspected_within(8.0) == set()
 
 
-def test_the_reports_of_a_box_that_stops_are_read_on_without_a_gap(fleet):
+def test_reports_continue_without_a_gap_after_a_planned_stop_of_their_reader(fleet):
     fleet.run(1.0)
     reader = fleet.reader_of("t0")
     reader.leave()
-    fleet.run(SERVES_ON_S)
+    fleet.run(PLANNED_STOP_S)
     reader.end()
     oldest_s = 0.0
     for _ in range(100):
@@ -138,29 +138,29 @@
     assert oldest_s <= 2 * INTERVAL_S + 0.05
 
 
-def test_no_engine_is_suspected_since_its_reader_is_lost(fleet):
+def test_no_engine_is_suspected_after_a_crash_of_its_reader(fleet):
     fleet.run(1.0)
     fleet.reader_of("t0").stop()
     before = len(fleet.asked)
     assert fleet.suspected_within(6.0) == set()
-    # No probe storm: no more questions than in calm times.
+    # No probe storm: no more questions than normally.
     assert len(fleet.asked) - before <= ENGINES * (6.0 / INTERVAL_S + 1)
 
 
-def test_an_engine_that_is_dead_is_suspected_by_all_soon(fleet):
+def test_a_dead_engine_is_suspected_by_all_boxes_soon(fleet):
     fleet.run(1.0)
     fleet.dead.add("t0")
     assert fleet.until_all_suspect("t0", 4.0) <= 1.6
 
 
-def test_an_engine_that_is_lost_together_with_its_reader_is_suspected_too(fleet):
+def test_an_engine_lost_together_with_its_reader_is_suspected(fleet):
     fleet.run(1.0)
     fleet.reader_of("t0").stop()
     fleet.dead.add("t0")
     assert fleet.until_all_suspect("t0", 4.0) <= 2.5
 
 
-def test_an_engine_is_not_suspected_any_more_once_it_answers(fleet):
+def test_an_engine_is_no_longer_suspected_once_it_answers(fleet):
     fleet.dead.add("t0")
     fleet.until_all_suspect("t0", 4.0)
     fleet.dead.clear()
@@ -168,7 +168,7 @@
     assert not any(box.suspects() for box in fleet.boxes.values())
 
 
-def test_an_engine_that_only_its_reader_can_not_reach_is_suspected_by_no_other_box(fleet):
+def test_an_engine_unreachable_for_its_reader_alone_is_suspected_by_no_other_box(fleet):
     fleet.run(1.0)
     reader = fleet.reader_of("t0")
     fleet.cut.add((reader.beliefs.circle.me, "t0"))
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""What targets say of themselves: for which start, for how long, and what it holds back."""
+"""Statements of targets about themselves: which start they bind, for how long, and which calls."""
 
 import pytest
 
@@ -20,12 +20,12 @@
     return world
 
 
-def say(world, said, born=OLD, target="t1"):
+def answer_with(world, said, born=OLD, target="t1"):
     world.statements.note_answer(target, born, said, world.net.seconds())
 
 
 def let_out(world, target="t1"):
-    """Return the kinds of calls that may go to a target now."""
+    """Return the kinds of calls that may be sent to a target now."""
     kinds = set()
     for kind in CallKind:
         try:
@@ -36,19 +36,19 @@
     return kinds
 
 
-def test_one_that_says_nothing_gets_everything(world):
-    say(world, Statements())
+def test_a_target_without_statements_gets_all_calls(world):
+    answer_with(world, Statements())
     assert let_out(world) == set(CallKind)
 
 
-def test_one_that_leaves_gets_what_concerns_work_that_has_begun(world):
-    say(world, LEAVES)
+def test_a_leaving_target_gets_only_calls_for_work_that_has_begun(world):
+    answer_with(world, LEAVES)
     assert let_out(world) == {CallKind.REPORT, CallKind.RENEW, CallKind.FREE}
     assert let_out(world, "t2") == set(CallKind)
 
 
-def test_one_that_wants_rest_gets_what_keeps_begun_streams_alive(world):
-    say(world, RESTS)
+def test_a_resting_target_gets_only_renewals(world):
+    answer_with(world, RESTS)
     assert let_out(world) == {CallKind.RENEW}
     assert let_out(world, "t2") == set(CallKind)
     world.net.advance(2.9)
@@ -57,45 +57,45 @@
     assert let_out(world) == set(CallKind)
 
 
-def test_what_goes_to_one_that_is_gone_is_not_held_back_but_for_new_work(world):
-    say(world, RESTS, target="t9")
+def test_an_unlisted_target_gets_all_calls_but_new_work(world):
+    answer_with(world, RESTS, target="t9")
     assert world.statements.let_out("t9", CallKind.FREE) == 0
     with pytest.raises(NotNowError, match="leaving"):
         world.statements.let_out("t9", CallKind.REQUEST)
 
 
 @pytest.mark.parametrize("said", [LEAVES, RESTS])
-def test_a_later_start_is_not_bound_by_what_an_earlier_one_has_said(world, said):
-    say(world, said)
+def test_statements_of_an_earlier_start_do_not_bind_a_later_one(world, said):
+    answer_with(world, said)
     world.view.note_born("t1", NEW, world.net.seconds())
     assert let_out(world) == set(CallKind)
-    say(world, said, born=OLD)
+    answer_with(world, said, born=OLD)
     assert let_out(world) == set(CallKind)
-    say(world, said, born=NEW)
+    answer_with(world, said, born=NEW)
     assert let_out(world) != set(CallKind)
 
 
-def test_of_two_rests_the_one_that_ends_later_holds(world):
-    say(world, Statements(rest_s=4.0))
+def test_of_two_rests_the_later_end_counts(world):
+    answer_with(world, Statements(rest_s=4.0))
     world.net.advance(1.0)
-    say(world, Statements(rest_s=1.0))
+    answer_with(world, Statements(rest_s=1.0))
     assert world.statements.rest_s("t1") == pytest.approx(3.0)
 
 
-def test_an_answer_that_asks_for_none_ends_no_rest(world):
-    say(world, RESTS)
-    say(world, Statements())
+def test_an_answer_without_a_rest_does_not_end_one(world):
+    answer_with(world, RESTS)
+    answer_with(world, Statements())
     assert world.statements.rest_s("t1") == pytest.approx(3.0)
 
 
-def test_days_of_rest_end_within_minutes(world):
-    say(world, Statements(rest_s=9e8))
+def test_a_long_rest_is_cut_to_the_maximum(world):
+    answer_with(world, Statements(rest_s=9e8))
     assert world.statements.rest_s("t1") == MAX_REST_S
     world.net.advance(MAX_REST_S)
     assert let_out(world) == set(CallKind)
 
 
-def test_a_peer_that_was_told_of_leaving_is_believed_of_the_same_start(world):
+def test_a_peers_note_of_leaving_applies_to_the_same_start_only(world):
     early = Gossip("peer", leaving_targets=[LeavingNote("t1", OLD - 1), LeavingNote("t9", OLD)])
     world.targets.note_start("t1", OLD)
     world.statements.take(early)
@@ -104,9 +104,9 @@
     assert not world.targets.may_get_work("t1")
 
 
-def test_operators_see_who_leaves_by_whose_word_and_who_rests(world):
-    say(world, RESTS)
-    say(world, LEAVES)
+def test_operators_see_leaving_targets_with_their_source_and_resting_targets(world):
+    answer_with(world, RESTS)
+    answer_with(world, LEAVES)
     world.statements.take(Gossip("peer", leaving_targets=[LeavingNote("t2", 0)]))
     world.net.advance(1.0)
     shown = world.statements.shown()
@@ -122,10 +122,10 @@
     assert shown["rests"] == []
 
 
-def test_one_that_says_so_while_its_entry_has_lapsed_leaves_once_it_is_listed_again(world):
+def test_a_target_that_leaves_while_unlisted_is_leaving_once_listed_again(world):
     entries = {name: entry._replace(born=OLD) for name, entry in world.targets.entries.items()}
     world.targets.entries = {"t2": entries["t2"]}
-    say(world, LEAVES)
+    answer_with(world, LEAVES)
     world.statements.take(Gossip("peer", leaving_targets=[LeavingNote("t3", OLD)]))
     world.targets._replace({**entries, "t3": entries["t1"]._replace(name="t3")})
     assert [name for name in entries if world.targets.may_get_work(name)] == ["t2"]
@@ -134,8 +134,8 @@
     assert world.targets.may_get_work("t1")
 
 
-def test_a_rest_outlasts_a_lapse_of_the_targets_entry(world):
-    say(world, RESTS)
+def test_a_rest_survives_a_lapse_of_the_targets_entry(world):
+    answer_with(world, RESTS)
     world.view.forget("t1")
     world.view.note_born("t1", OLD, world.net.seconds())
     assert let_out(world) == {CallKind.RENEW}
@@ -144,9 +144,9 @@
     assert let_out(world) == set(CallKind)
 
 
-def test_what_can_not_be_read_is_logged_once_until_it_changes(world, caplog):
+def test_an_unreadable_statement_is_logged_once_until_it_changes(world, caplog):
     odd = [Statements(odd=(OddStatement("rest_s", text),)) for text in ("soon", "soon", "later")]
     for said in odd:
-        say(world, said)
+        answer_with(world, said)
     lines = [row for row in caplog.records if row.message == "unreadable statement from target"]
     assert [row.said for row in lines] == ["soon", "later"]
