--- a/gladedrum/placing/apart.py
+++ b/gladedrum/placing/apart.py
@@ -7,10 +7,10 @@
 from .fleet_view import FleetView
 from .work_plan import WorkPlan
 
-__all__ = ["keep_apart"]
+__all__ = ["separate_suspects"]
 
 
-def keep_apart(
+def separate_suspects(
     entries: Sequence[TargetEntry], standing: Standing, view: FleetView, now_s: float
 ) -> Sequence[TargetEntry]:
     """Return the targets, of those given, that a request should prefer to avoid meeting suspects.
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -15,7 +15,7 @@
 from ..scheduling.engine_model import EngineTraits
 from ..scheduling.placements import place_by
 from ..scheduling.suspects import Standing
-from .apart import keep_apart
+from .apart import separate_suspects
 from .fleet_view import FleetView
 from .work_plan import WorkPlan
 
@@ -66,7 +66,7 @@
         empty.
     closed : mapping of str to float
         Targets that take no request from the sending box now, and for how many seconds: because of
-        their rate limits, or because they asked this box to rest (send nothing for a while).
+        their rate limits, or because they asked it to rest (to send nothing for a while).
     """
 
     service: Service
@@ -210,7 +210,7 @@
         listed = self._open_targets(demand, now_s)
         fresh = [entry for entry in listed if entry.name not in tried] if tried else listed
         trusted = [e for e in fresh if self._view.state(e.name).distrust_at(now_s) < DISTRUST_LIMIT]
-        separated = keep_apart(trusted, self.standing(demand), self._view, now_s)
+        separated = separate_suspects(trusted, self.standing(demand), self._view, now_s)
         for entries in (separated, trusted, fresh, listed):
             choice = self._choose_among(entries, demand, now_s) if entries else None
             if choice is not None:
@@ -218,7 +218,7 @@
         return None
 
     def reopens_s(self, demand: Demand) -> float | None:
-        """Return the seconds until the first target takes a request; None if one does now."""
+        """Return the seconds until a target takes a request if all are closed now, else None."""
         now_s = self._clock.seconds()
         listed = self._usable_targets(demand.service.name)
         if not listed or self._open_targets(demand, now_s):
--- a/gladedrum/placing/members.py
+++ b/gladedrum/placing/members.py
@@ -14,7 +14,7 @@
 
 __all__ = ["MemberClient"]
 
-AVOIDED_S = 2.0
+AVOIDANCE_S = 2.0
 """How long a member that did not answer is not asked, in seconds. A late answer ends this early,
 and its member is given a longer timeout."""
 
@@ -79,7 +79,7 @@
             self._times.note(member, self._clock.seconds() - asked.sent_s)
         return answer
 
-    def take(self, note: ChoiceNote) -> None:
+    def receive(self, note: ChoiceNote) -> None:
         """Process a member's answer, in time or late."""
         waiting = self._waiting.pop(note.work_id, None)
         if waiting is not None:
@@ -101,7 +101,7 @@
             self._port.tell_work(note_of(plan, gossip.WITHDRAWN))
 
     def _abandon(self, work_id: str, asked: _Asked, waited_s: float) -> None:
-        self._avoided_until_s[asked.member] = self._clock.seconds() + AVOIDED_S
+        self._avoided_until_s[asked.member] = self._clock.seconds() + AVOIDANCE_S
         self._abandoned[work_id] = asked
         if len(self._abandoned) > MAX_ABANDONED:
             del self._abandoned[next(iter(self._abandoned))]
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -125,7 +125,7 @@
             # One per reactor turn, so that arriving datagrams are read between decisions.
             self._clock.callLater(0, self._answer_next)
         for note in message.choices or ():
-            self._members.take(note)
+            self._members.receive(note)
 
     def _answer_next(self) -> None:
         """Answer the latest question; reply "busy" at once if it has waited too long."""
--- a/gladedrum/placing/repeat_pool.py
+++ b/gladedrum/placing/repeat_pool.py
@@ -1,6 +1,6 @@
 """The fleet-wide retry budget: this box's share, and what members of the group have left of theirs.
 
-A *repeat* is a second attempt of a request (a retry or a hedge). The budget is a ratio of requests
+A *repeat* is a further attempt of a request (a retry or a hedge). The budget is a ratio of requests
 plus a slack. In a large fleet, an even split of the slack would leave each box a repeat or two: too
 few where many requests fail at once, and unused elsewhere. There, the members of the coordinator
 group hold the slack, and other boxes ask one of them for each repeat beyond their own ratio. In a
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -127,8 +127,7 @@
                 return age_s > ANY_READER_AGE_S
 
     def _rate_delay_s(self, target: str, now_s: float) -> float | None:
-        """Return the extra report age that is allowed for a target, in seconds; None if not due
-        yet.
+        """Return the extra report age allowed for a target, in seconds; None if no poll is due.
 
         Polls count against a target's rate limit, so a target with a low rate is polled less often.
         After a failed poll, the next one follows at the normal interval.
@@ -191,9 +190,7 @@
 
 
 def order_of(target: str, boxes: list[str]) -> list[str]:
-    """Return the boxes in the order in which they are responsible for a target (rendezvous
-    hashing).
-    """
+    """Return the boxes in order of responsibility for a target, by rendezvous hashing."""
 
     def weight(box: str) -> bytes:
         return hashlib.blake2b(f"{box}|{target}".encode()).digest()
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -26,7 +26,7 @@
 from ..utils import sleep
 from .fleet_view import FleetView
 
-__all__ = ["Suspicion", "loss_of", "note_of_loss"]
+__all__ = ["Suspicion", "loss_from_note", "note_from_loss"]
 
 RESEND_DELAYS_S = (0.3, 0.9)
 """When a loss is sent again, in seconds after the first time. If one datagram in ten is lost, a box
@@ -100,8 +100,9 @@
         return None if row is None else row.left_s
 
     def note_lost(self, digest: bytes, names: Iterable[str], route: str, organisation: str) -> None:
-        """Record that a request was lost with targets; leaving targets end as planned and are
-        skipped.
+        """Record that a request was lost with targets.
+
+        Targets that are leaving are skipped, since they end as planned.
         """
         starts = [self._start(name) for name in names if self._targets.may_get_work(name)]
         now_s = self._clock.seconds()
@@ -164,14 +165,14 @@
     def tell_all(self, address: tuple[str, int]) -> None:
         """Send all known losses to a box."""
         now_s = self._clock.seconds()
-        notes = [note_of_loss(loss, now_s) for loss in self._book.shared()]
+        notes = [note_from_loss(loss, now_s) for loss in self._book.shared()]
         self._port.tell_losses(notes, address)
 
     def take(self, message: Gossip) -> None:
         """Add the losses in a peer's message."""
         if message.losses:
             now_s = self._clock.seconds()
-            losses = (loss_of(note, now_s) for note in message.losses)
+            losses = (loss_from_note(note, now_s) for note in message.losses)
             self._book.merge([loss for loss in losses if loss is not None], now_s)
 
     def _tell_repeatedly(self, losses: list[Loss]) -> None:
@@ -183,10 +184,10 @@
 
     def _tell(self, losses: list[Loss]) -> None:
         now_s = self._clock.seconds()
-        self._port.tell_losses([note_of_loss(loss, now_s) for loss in losses])
+        self._port.tell_losses([note_from_loss(loss, now_s) for loss in losses])
 
 
-def note_of_loss(loss: Loss, now_s: float) -> LossNote:
+def note_from_loss(loss: Loss, now_s: float) -> LossNote:
     """Return the note that sends a loss to peers."""
     age_s = now_s - loss.at_s
     return LossNote(
@@ -194,7 +195,7 @@
     )
 
 
-def loss_of(note: LossNote, now_s: float) -> Loss | None:
+def loss_from_note(note: LossNote, now_s: float) -> Loss | None:
     """Return the loss in a peer's note; None if the note is invalid."""
     known = {int(verdict) for verdict in Verdict}
     if not note.digest or not note.target or note.verdict not in known:
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -42,7 +42,7 @@
 the rate is small, so its own wait would be long, and the counting member may answer again
 before."""
 
-AVOIDED_S = 2.0
+AVOIDANCE_S = 2.0
 """How long a member that did not answer is not asked, in seconds."""
 
 _log = logging.getLogger(__name__)
@@ -226,7 +226,7 @@
             self._waiting.pop(ask_id, None)
         self._missed[member] = self._missed.get(member, 0) + 1 if answer is None else 0
         if self._missed[member] >= MAX_MISSES:
-            self._avoided_until_s[member] = self._clock.seconds() + AVOIDED_S
+            self._avoided_until_s[member] = self._clock.seconds() + AVOIDANCE_S
         return answer
 
     # Peers.
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -24,7 +24,7 @@
     world.statements.note_answer(target, born, said, world.net.seconds())
 
 
-def let_out(world, target="t1"):
+def allowed_kinds(world, target="t1"):
     """Return the kinds of calls that may be sent to a target now."""
     kinds = set()
     for kind in CallKind:
@@ -38,23 +38,23 @@
 
 def test_a_target_without_statements_gets_all_calls(world):
     answer_with(world, Statements())
-    assert let_out(world) == set(CallKind)
+    assert allowed_kinds(world) == set(CallKind)
 
 
 def test_a_leaving_target_gets_only_calls_for_work_that_has_begun(world):
     answer_with(world, LEAVES)
-    assert let_out(world) == {CallKind.REPORT, CallKind.RENEW, CallKind.FREE}
-    assert let_out(world, "t2") == set(CallKind)
+    assert allowed_kinds(world) == {CallKind.REPORT, CallKind.RENEW, CallKind.FREE}
+    assert allowed_kinds(world, "t2") == set(CallKind)
 
 
 def test_a_resting_target_gets_only_renewals(world):
     answer_with(world, RESTS)
-    assert let_out(world) == {CallKind.RENEW}
-    assert let_out(world, "t2") == set(CallKind)
+    assert allowed_kinds(world) == {CallKind.RENEW}
+    assert allowed_kinds(world, "t2") == set(CallKind)
     world.net.advance(2.9)
-    assert let_out(world) == {CallKind.RENEW}
+    assert allowed_kinds(world) == {CallKind.RENEW}
     world.net.advance(0.2)
-    assert let_out(world) == set(CallKind)
+    assert allowed_kinds(world) == set(CallKind)
 
 
 def test_an_unlisted_target_gets_all_calls_but_new_work(world):
@@ -68,11 +68,11 @@
 def test_statements_of_an_earlier_start_do_not_bind_a_later_one(world, said):
     answer_with(world, said)
     world.view.note_born("t1", NEW, world.net.seconds())
-    assert let_out(world) == set(CallKind)
+    assert allowed_kinds(world) == set(CallKind)
     answer_with(world, said, born=OLD)
-    assert let_out(world) == set(CallKind)
+    assert allowed_kinds(world) == set(CallKind)
     answer_with(world, said, born=NEW)
-    assert let_out(world) != set(CallKind)
+    assert allowed_kinds(world) != set(CallKind)
 
 
 def test_of_two_rests_the_later_end_counts(world):
@@ -92,7 +92,7 @@
     answer_with(world, Statements(rest_s=9e8))
     assert world.statements.rest_s("t1") == MAX_REST_S
     world.net.advance(MAX_REST_S)
-    assert let_out(world) == set(CallKind)
+    assert allowed_kinds(world) == set(CallKind)
 
 
 def test_a_peers_note_of_leaving_applies_to_the_same_start_only(world):
@@ -138,10 +138,10 @@
     answer_with(world, RESTS)
     world.view.forget("t1")
     world.view.note_born("t1", OLD, world.net.seconds())
-    assert let_out(world) == {CallKind.RENEW}
+    assert allowed_kinds(world) == {CallKind.RENEW}
     world.view.forget("t1")
     world.view.note_born("t1", NEW, world.net.seconds())
-    assert let_out(world) == set(CallKind)
+    assert allowed_kinds(world) == set(CallKind)
 
 
 def test_an_unreadable_statement_is_logged_once_until_it_changes(world, caplog):
