--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -107,7 +107,7 @@
     ) -> tuple[Choice, WorkPlan] | NoPlace | None:
         """Choose where a request runs and record it in the ledgers; None if no target has room.
 
-        A `NoPlace` says why the request must not be placed now. Targets in `tried` are used last.
+        A `NoPlace` says why it is not placed now. Targets in `tried` are used last.
         """
         answer = await self._ask_deciders(self._deciders(work_id, demand), work_id, demand, tried)
         if answer is None:
