--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -29,7 +29,7 @@
 
 PEER_WAIT_S = 3.0
 """How long a box that does not read for others waits for peers before it reads the record, in
-seconds. This is shorter than the time after which peers expect it to be informed (3 s on small
+seconds. This is no longer than the time after which peers expect it to be informed (3 s on small
 sites, 5 s on large ones)."""
 
 RETRY_PAUSE_S = 1.0
