--- a/gladedrum/scheduling/__init__.py
+++ b/gladedrum/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions: which request runs where and when. No I/O, and no clock of its own."""
+"""Scheduling decisions: which request runs where and when. Free of I/O; callers pass the time."""
 
 from .decisions import *
 from .decisions import __all__ as _decisions_all
--- a/gladedrum/scheduling/arrivals.py
+++ b/gladedrum/scheduling/arrivals.py
@@ -1,8 +1,7 @@
-"""How often long prompts come: what is to be read beside an answer after it has been placed.
+"""Arrival rate of long prompts.
 
-A prompt that is read beside answers stretches the passes of its engine, and with them the pauses
-of these answers. Which prompts will come is not known when an answer is placed, but how often they
-came of late is.
+Reading a prompt stretches the passes of its engine, and so the pauses of the answers beside it.
+Placement uses the recent arrival rate to estimate how much later long prompts will delay an answer.
 """
 
 import math
@@ -13,71 +12,71 @@
 
 __all__ = ["LongReads"]
 
-LEAST_TOKENS = 8_000
-"""Parts of fewer tokens are not counted: engines read them within the pauses that are aimed at."""
+MIN_PART_TOKENS = 8_000
+"""Shorter parts are not counted: engines read them within any objective for pauses."""
 
 MEMORY_S = 6.0
-"""An arrival counts for a third after so many seconds: long enough for several long prompts, short
-enough to follow a mix that changes within a minute."""
+"""Time constant of the exponential decay, in seconds: long enough to average over several long
+prompts, short enough to follow a changing mix."""
 
-MOST_KEPT = 512
-"""Arrivals that are remembered: in the largest fleets those of the last minute."""
+MAX_ARRIVALS = 512
+"""Maximum number of arrivals kept, enough for the decay time in the largest fleets."""
 
 
-RATE_FOR_S = 0.1
-"""A rate that was worked out holds for so long, in seconds: it fades by 2% meanwhile. A box that
-decides for a large fleet asks for it a hundred times a second, over some hundred arrivals."""
+RATE_CACHE_S = 0.1
+"""How long a computed rate is reused, in seconds. A box that decides for a large fleet needs it a
+hundred times a second, and it changes little in this time."""
 
 
-MOST_RATES = 64
-"""Rates that are kept: one for each kind of engine and pause that is aimed at."""
+MAX_CACHED_RATES = 64
+"""Maximum number of cached rates, one for each kind of engine and pause limit."""
 
 
 class _Arrival(NamedTuple):
-    """A prompt: when it was placed, in how many parts, and how long each is."""
+    """The placement of a long prompt: its time, the number of parts and their length."""
 
     at_s: float
     parts: int
     part_tokens: float
 
 
-class _Rate(NamedTuple):
-    """Parts a second, and when that was worked out."""
+class _CachedRate(NamedTuple):
+    """A rate in parts a second, and the time of its computation."""
 
     at_s: float
     per_s: float
 
 
 class LongReads:
-    """The long prompts that were placed of late, on any engine."""
+    """The recently placed long prompts, over all engines."""
 
     def __init__(self) -> None:
-        self._arrivals: deque[_Arrival] = deque(maxlen=MOST_KEPT)
-        self._rates: dict[tuple[EngineTraits, float], _Rate] = {}
+        self._arrivals: deque[_Arrival] = deque(maxlen=MAX_ARRIVALS)
+        self._rates: dict[tuple[EngineTraits, float], _CachedRate] = {}
 
     def note(self, prompt_tokens: float, parts: int, now_s: float) -> None:
-        """Note a prompt that is read in `parts` parts from now on."""
+        """Record a prompt that is read in `parts` parts from now on."""
         part_tokens = prompt_tokens / parts
-        if part_tokens >= LEAST_TOKENS:
+        if part_tokens >= MIN_PART_TOKENS:
             self._arrivals.append(_Arrival(now_s, parts, part_tokens))
 
     def parts_per_s(self, traits: EngineTraits, longer_than_s: float, now_s: float) -> float:
-        """Return how many engines a second began to read for longer than a time, of late."""
+        """Return the recent rate of parts whose reading takes longer than a limit, per second."""
         key = (traits, longer_than_s)
         known = self._rates.get(key)
-        if known is not None and now_s - known.at_s < RATE_FOR_S:
+        if known is not None and now_s - known.at_s < RATE_CACHE_S:
             return known.per_s
         per_s = sum(
             arrival.parts * math.exp((arrival.at_s - now_s) / MEMORY_S) / MEMORY_S
             for arrival in self._arrivals
-            if _read_s(traits, arrival) > longer_than_s
+            if _part_read_time_s(traits, arrival) > longer_than_s
         )
-        if len(self._rates) >= MOST_RATES:
+        if len(self._rates) >= MAX_CACHED_RATES:
             self._rates.clear()
-        self._rates[key] = _Rate(now_s, per_s)
+        self._rates[key] = _CachedRate(now_s, per_s)
         return per_s
 
 
-def _read_s(traits: EngineTraits, arrival: _Arrival) -> float:
-    """Return how long one part of a prompt is read; the pairs of all are shared evenly."""
+def _part_read_time_s(traits: EngineTraits, arrival: _Arrival) -> float:
+    """Return the reading time of one part; the pairs of the whole prompt are shared evenly."""
     return read_time_s(traits, arrival.part_tokens * arrival.parts) / arrival.parts
--- a/gladedrum/scheduling/credit.py
+++ b/gladedrum/scheduling/credit.py
@@ -1,8 +1,11 @@
-"""Placement by the credit that is expected to be lost, over the engine model.
-
-For each candidate engine the coming passes are played with and without the newcomer. What the
-newcomer and the requests already there lose by being late, each weighed by its worth, is the
-cost; the cheapest engine, or set of engines that read a long prompt in parts, gets it.
+"""Placement by lowest expected loss, predicted with the engine model.
+
+Each request has a worth, of which it loses a share if it is late and all if its caller leaves. For
+each candidate engine the coming passes are simulated with and without the new request. Its cost
+there is what the requests already on the engine lose by the delay, plus what the new request loses
+itself. The request goes to the engine with the lowest cost, or, if its prompt is long, to the set
+of engines that reads it in parts at the lowest cost. One engine of a set answers; the others are
+its helpers.
 """
 
 import bisect
@@ -12,73 +15,70 @@
 from typing import NamedTuple
 
 from .arrivals import LongReads
-from .engine_model import EngineTraits, Prospect, Work, predict, read_time_s
+from .engine_model import EngineTraits, Prediction, Work, predict, read_time_s
 from .ledger import EngineLedger, LedgerRow, Stake
 
 __all__ = ["Candidate", "Job", "Placement", "place", "worth_of"]
 
-TOKENS_A_UNIT = 10_000
-"""Prompt tokens that add the worth of one small request; from the users' sheets."""
+TOKENS_PER_WORTH_UNIT = 10_000
+"""Prompt tokens that add as much worth as one small request has."""
 
 LATE_LOSS = 0.75
-"""Share of the worth that a late answer loses, from the users' sheets."""
+"""Share of its worth that a late answer loses."""
 
-MOST_HELPERS = 16
-"""An engine rejects a request with more helping engines than these; published."""
+MAX_HELPERS = 16
+"""Engines reject a request that names more helpers."""
 
-PART_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 1 + MOST_HELPERS)
-"""Into how many parts a prompt may be split. A prompt of twice the usual size has four times the
-pairs: at 16 parts it is read within an objective that six parts miss by half. Against six parts at
-the most, calm days serve 0.7% more of their worth (mean of eleven paired runs)."""
+PART_COUNTS = (1, 2, 3, 4, 5, 6, 8, 10, 12, 14, 1 + MAX_HELPERS)
+"""Numbers of parts that a prompt may be split into. The cost of reading grows with the square of
+the length, so the longest prompts need many parts to be on time."""
 
-EASY_SHARE = 0.6
-"""The search for a number of parts begins where idle engines read a prompt in this share of its
-objective; it only decides where the search begins."""
+SEARCH_START_SHARE = 0.6
+"""The search for the number of parts starts with the fewest parts that idle engines read in this
+share of the time until the first event is due."""
 
-LEAST_HELPED_TOKENS = 30_000
-"""Shorter prompts are not read in parts: the parts would disturb more than they gain."""
+MIN_SPLIT_PROMPT_TOKENS = 30_000
+"""Shorter prompts are read by one engine: splitting them delays others more than it gains."""
 
 USUAL_QUOTED = 18
-"""Engines that are played through for one request: a decision costs about 0.1 ms for each, and in a
-large fleet a few boxes decide for all. With all of 60 engines a long prompt would lose 2% less at
-the most, for two to three times the processor time (the same fleets, busy with long prompts)."""
+"""Engines that are simulated for most requests. This bounds the time of a decision, since a few
+boxes decide for a large fleet."""
 
-QUOTED_A_PART = 1.5
-"""A prompt that needs many parts has so many engines played through for each: half of those that
-are listed are idle, so it finds about as many idle engines as it has parts. On a calm fleet of 60 a
-prompt of a million tokens loses a fifth less for that and for its 17th part, one of 800,000 a tenth
-(the placement played through on eight fleets); 2.0 gains nothing more."""
+QUOTED_ENGINES_PER_PART = 1.5
+"""Engines that are simulated for each part of a prompt that needs many. Half of the shortlist is
+idle, so this finds nearly one idle engine per part."""
 
 HELPER_COST = 0.012
-"""What each helping engine costs beyond the delays it suffers, as a share of the request's worth: a
-further engine that can fail."""
+"""Cost of each helper beyond the delays it suffers, as a share of the request's worth: one more
+engine that can fail."""
 
 IDLE_COST = 0.04
-"""What a short request costs by taking an idle engine, which a long one may need next."""
+"""Cost of an idle engine, which a long prompt may need next."""
 
-AWAY_COST = 0.01
-"""What an engine in another data hall costs."""
+REMOTE_HALL_COST = 0.01
+"""Cost of an engine in another data hall."""
 
 CONNECT_COST = 0.02
-"""What an engine costs to which the box that sends the request must open a connection: a round
-trip, work on both sides, and a place among the connections that an engine takes. With 76 boxes and
-60 engines it saves a third of the connections of a calm minute (one run each way)."""
+"""Cost of an engine to which the sending box has no idle connection: a round trip, work on both
+sides and one of the connections that the engine accepts."""
 
-MOST_CONNECTED = 4
-"""Engines beyond the shortlist that are played through because a connection to them is there."""
+MAX_EXTRA_CONNECTED = 4
+"""Engines added to the shortlist because the box is connected to them."""
 
 MARGIN = 0.9
-"""A limit counts as half missed at this share of it: reports and the model are inexact."""
+"""A limit counts as missed with probability one half at this share of it, as reports and the model
+are inexact."""
 
 SOFTNESS = 0.09
-"""How gradually a limit is missed, as a share of the limit."""
+"""Width of the logistic curve by which the probability of missing a limit rises, as a share of the
+limit."""
 
-DELAY_COST = 0.02
-"""What each second to the first event costs, as a share of the worth: among places where it is
-late anyway, the sooner is the better."""
+DELAY_COST_PER_S = 0.02
+"""Cost of each second until the first event, as a share of the worth: prefers the earlier of two
+placements that are both late."""
 
-LONGEST_DELAY_S = 60.0
-"""Beyond so many seconds a later first event costs no more; the model's infinity stays finite."""
+MAX_COSTED_DELAY_S = 60.0
+"""Longer delays cost no more, which keeps the cost finite."""
 
 
 class Job(NamedTuple):
@@ -87,16 +87,16 @@
     Parameters
     ----------
     prompt_tokens, answer_tokens : float
-        Its size, the latter expected.
+        Length of the prompt, and expected length of the answer.
     value : float
-        What it is worth in time.
+        Its worth if it is on time, see `worth_of`.
     first_due_s : float
         Seconds from now until its first event is due.
     pause_limit_s : float
-        The longest pause between events that is aimed at.
-    lost_after_s : float
-        Seconds from now after which its caller leaves, or its answer can't be whole in time, if no
-        event has come.
+        Objective for the longest pause between events, in seconds.
+    caller_leaves_after_s : float
+        Seconds from now until its caller leaves, or its answer can no longer be completed in time,
+        if there has been no event.
     """
 
     prompt_tokens: float
@@ -104,7 +104,7 @@
     value: float
     first_due_s: float
     pause_limit_s: float
-    lost_after_s: float = float("inf")
+    caller_leaves_after_s: float = float("inf")
 
 
 @dataclass(slots=True)
@@ -118,56 +118,56 @@
     ledger : EngineLedger
         Its requests, advanced to now.
     pace : float
-        Over 1 if it is slow.
-    distrust : float
-        The chance that it fails a request, 0 to 1.
-    away : bool
-        Whether it stands in another data hall.
-    unknown_tokens : float
-        Memory that it reports beyond its ledger: a long prompt of somebody else, which may still
-        be read.
+        Factor by which it is slower than its traits say; 1 if it is not.
+    failure_chance : float
+        Probability that it fails a request.
+    in_other_hall : bool
+        Whether it is in another data hall than the sending box.
+    unaccounted_tokens : float
+        Memory in use by its report but not in its ledger. It is taken for a long prompt that is
+        still to be read.
     connected : bool
-        Whether the box that sends the request holds an idle connection to it.
-    helps : bool
-        Whether it may read a part of a prompt that another one answers.
+        Whether the sending box has an idle connection to it.
+    may_help : bool
+        Whether it may read a part of a prompt that another engine answers.
     """
 
     name: str
     ledger: EngineLedger
     pace: float = 1.0
-    distrust: float = 0.0
-    away: bool = False
-    unknown_tokens: float = 0.0
+    failure_chance: float = 0.0
+    in_other_hall: bool = False
+    unaccounted_tokens: float = 0.0
     connected: bool = False
-    helps: bool = True
+    may_help: bool = True
 
     @property
     def tokens(self) -> float:
-        """Memory that is taken, in tokens."""
-        return self.ledger.tokens + self.unknown_tokens
+        """Memory in use, in tokens."""
+        return self.ledger.tokens + self.unaccounted_tokens
 
 
 class Placement(NamedTuple):
-    """Where a request goes.
+    """The engines chosen for a request.
 
     Parameters
     ----------
     name : str
         The engine that answers.
     helpers : tuple of str
-        Engines that read with it.
+        Engines that read parts of the prompt for it.
     part_tokens : int
-        What each of them reads.
+        Length of each part.
     reserved : bool
-        Whether the helpers must set memory aside because the prompt fits no one engine.
+        Whether the helpers must reserve memory because no single engine holds the whole prompt.
     loss : float
-        The credit expected to be lost.
+        Expected loss of worth, over all requests concerned.
     first_event_s : float
         Predicted time to the first event.
     pause_s : float
         Predicted longest pause.
     lost_chance : float
-        The chance that its caller has left before the first event.
+        Probability that its caller leaves before the first event.
     """
 
     name: str
@@ -180,7 +180,7 @@
     lost_chance: float = 0.0
 
 
-class _Engine(NamedTuple):
+class _EngineState(NamedTuple):
     """What all quotes of an engine for one request share.
 
     Parameters
@@ -188,13 +188,13 @@
     candidate : Candidate
         The engine.
     cost : float
-        What the request loses there whatever its size: by failing, by the way, to what comes later.
+        Cost of this engine that does not depend on the number of parts.
     rows : list of LedgerRow
-        The requests there.
+        The requests on it.
     present : list of Work
-        What is left of them, and of work that is not known.
+        Their remaining work, and the unaccounted work.
     before : list of float
-        What each of `rows` is to lose without the newcomer.
+        Expected loss of each of `rows` without the new request.
     """
 
     candidate: Candidate
@@ -205,22 +205,22 @@
 
 
 class _Quote(NamedTuple):
-    """What one engine would cost: the loss of others there, and the newcomer's prospect."""
+    """The loss that a request causes on one engine, and the prediction for the request itself."""
 
     candidate: Candidate
     loss: float
-    prospect: Prospect
+    prediction: Prediction
 
 
 def worth_of(prompt_tokens: float) -> float:
-    """Return a request's worth in time, in units of a small one's.
+    """Return the worth of a request that is on time, in units of the smallest request's.
 
     Examples
     --------
     >>> worth_of(0), worth_of(140_000)
     (1.0, 15.0)
     """
-    return 1.0 + prompt_tokens / TOKENS_A_UNIT
+    return 1.0 + prompt_tokens / TOKENS_PER_WORTH_UNIT
 
 
 def place(
@@ -230,53 +230,54 @@
     now_s: float,
     long_reads: LongReads | None = None,
 ) -> Placement | None:
-    """Choose engines for a request; None if no set of candidates has the memory for it.
+    """Choose the engines for a request; None if no set of candidates has the memory for it.
 
-    `long_reads` tells what may come beside it later. Of engines that cost the same the first of
-    `candidates` is taken.
+    `long_reads` are the recent long prompts, by which the interference of later ones is estimated.
+    Of engines with equal cost, the first in `candidates` is taken.
     """
-    likely = _shortlist(candidates, _quoted_count(traits, job))
-    exposed = _exposure(traits, candidates, job, now_s, long_reads or LongReads())
-    engines = [_engine(traits, candidate, now_s, exposed(candidate)) for candidate in likely]
+    shortlist = _shortlist(candidates, _engines_to_quote(traits, job))
+    interference_loss = _exposure(traits, candidates, job, now_s, long_reads or LongReads())
+    engines = [
+        _engine_state(traits, candidate, now_s, interference_loss(candidate))
+        for candidate in shortlist
+    ]
     counts = _part_counts(traits, job, len(engines))
-    return _cheapest(
-        lambda index: _best_of(traits, engines, job, counts[index], now_s),
+    return _lowest_loss(
+        lambda index: _best_with_parts(traits, engines, job, counts[index], now_s),
         len(counts),
-        _likely_index(traits, job, counts),
+        _search_start(traits, job, counts),
     )
 
 
-def _quoted_count(traits: EngineTraits, job: Job) -> int:
-    """Return how many engines are played through: more for a prompt that needs many parts."""
-    parts = _least_parts(traits, job)
-    if job.prompt_tokens >= LEAST_HELPED_TOKENS:
-        parts = max(parts, min(_easy_parts(traits, job), PART_COUNTS[-1]))
-    return max(USUAL_QUOTED, math.ceil(QUOTED_A_PART * parts))
+def _engines_to_quote(traits: EngineTraits, job: Job) -> int:
+    """Return how many engines to simulate: more for prompts that need many parts."""
+    parts = _min_parts(traits, job)
+    if job.prompt_tokens >= MIN_SPLIT_PROMPT_TOKENS:
+        parts = max(parts, min(_parts_to_be_on_time(traits, job), PART_COUNTS[-1]))
+    return max(USUAL_QUOTED, math.ceil(QUOTED_ENGINES_PER_PART * parts))
 
 
-def _easy_parts(traits: EngineTraits, job: Job) -> float:
-    """Return in how many parts idle engines would read a prompt easily in time."""
-    easy_s = EASY_SHARE * job.first_due_s
-    return read_time_s(traits, job.prompt_tokens) / easy_s if easy_s > 0 else math.inf
+def _parts_to_be_on_time(traits: EngineTraits, job: Job) -> float:
+    """Return in how many parts idle engines read a prompt with time to spare."""
+    wanted_s = SEARCH_START_SHARE * job.first_due_s
+    return read_time_s(traits, job.prompt_tokens) / wanted_s if wanted_s > 0 else math.inf
 
 
-def _likely_index(traits: EngineTraits, job: Job, counts: Sequence[int]) -> int:
-    """Return the place of the least number of parts by which idle engines would be in time."""
-    easy = _easy_parts(traits, job)
-    enough = (i for i, parts in enumerate(counts) if parts > easy)
+def _search_start(traits: EngineTraits, job: Job, counts: Sequence[int]) -> int:
+    """Return the index of the fewest parts with which idle engines are on time."""
+    wanted = _parts_to_be_on_time(traits, job)
+    enough = (i for i, parts in enumerate(counts) if parts > wanted)
     return next(enough, len(counts) - 1)
 
 
-def _cheapest(
+def _lowest_loss(
     option_at: Callable[[int], Placement | None], count: int, first: int
 ) -> Placement | None:
-    """Return the option of the least loss, sought from `first` on and from the fewest parts on.
+    """Return the option with the lowest loss; searches locally from index 0 and from `first`.
 
-    A further part brings the first event forward by less than the one before, and each costs, so
-    the loss falls and then rises. It does so twice where only the most parts are in time: a prompt
-    that is late anyway is read best by a few engines, whose answers it stops. Sought from both, the
-    loss is the least (60 random fleets of 18 engines), from `first` alone 1.1% above it and up to
-    10% for single prompts. A long prompt takes twice the processor time for it, 7 ms.
+    Each further part shortens the reading by less than the one before, so the loss first falls and
+    then rises. There can be two minima if only many parts are on time: a prompt that will be late
+    anyway costs least on few engines, where it delays few answers.
     """
     known: dict[int, Placement | None] = {}
 
@@ -285,14 +286,14 @@
             known[index] = option_at(index)
         return known[index]
 
-    found = [_descend(option, count, start) for start in (0, first)] if count else []
+    found = [_local_minimum(option, count, start) for start in (0, first)] if count else []
     return min((o for o in found if o is not None), key=lambda o: o.loss, default=None)
 
 
-def _descend(
+def _local_minimum(
     option_at: Callable[[int], Placement | None], count: int, first: int
 ) -> Placement | None:
-    """Return the option of the least loss, sought from `first` on to both sides."""
+    """Search from `first` in both directions until the loss rises; return the best option."""
     best = option_at(first)
     for step in (1, -1):
         index = first + step
@@ -307,35 +308,35 @@
 
 
 def _shortlist(candidates: Sequence[Candidate], count: int) -> list[Candidate]:
-    """Return the engines worth playing through: the idle ones and those that read the least."""
+    """Return the engines worth simulating: idle ones, and those with the least to read."""
     if len(candidates) <= count:
         return list(candidates)
-    ordered = sorted(candidates, key=_unread)
+    ordered = sorted(candidates, key=_backlog_key)
     idle = [candidate for candidate in ordered if not candidate.ledger.rows]
-    begun = [candidate for candidate in ordered if candidate.ledger.rows]
-    some_idle = idle[: max(count // 2, count - len(begun))]
-    listed = some_idle + begun[: count - len(some_idle)]
+    busy = [candidate for candidate in ordered if candidate.ledger.rows]
+    listed_idle = idle[: max(count // 2, count - len(busy))]
+    listed = listed_idle + busy[: count - len(listed_idle)]
     names = {candidate.name for candidate in listed}
     connected = [c for c in ordered if c.connected and c.name not in names]
-    return listed + connected[:MOST_CONNECTED]
+    return listed + connected[:MAX_EXTRA_CONNECTED]
 
 
-def _unread(candidate: Candidate) -> tuple[float, int]:
-    unread = candidate.unknown_tokens + candidate.ledger.unread
-    slow = unread * candidate.pace / max(0.01, 1 - candidate.distrust)
+def _backlog_key(candidate: Candidate) -> tuple[float, int]:
+    unread = candidate.unaccounted_tokens + candidate.ledger.unread
+    slow = unread * candidate.pace / max(0.01, 1 - candidate.failure_chance)
     return slow, len(candidate.ledger.rows)
 
 
-def _least_parts(traits: EngineTraits, job: Job) -> int:
+def _min_parts(traits: EngineTraits, job: Job) -> int:
     return max(1, math.ceil((job.prompt_tokens + job.answer_tokens) / traits.memory_tokens))
 
 
 def _part_counts(traits: EngineTraits, job: Job, available: int) -> list[int]:
-    least = _least_parts(traits, job)
-    if job.prompt_tokens < LEAST_HELPED_TOKENS:
+    least = _min_parts(traits, job)
+    if job.prompt_tokens < MIN_SPLIT_PROMPT_TOKENS:
         return [least] if least <= available else []
     counts = {least, *(count for count in PART_COUNTS if count > least)}
-    return sorted(count for count in counts if count <= min(available, 1 + MOST_HELPERS))
+    return sorted(count for count in counts if count <= min(available, 1 + MAX_HELPERS))
 
 
 def _exposure(
@@ -345,156 +346,169 @@
     now_s: float,
     long_reads: LongReads,
 ) -> Callable[[Candidate], float]:
-    """Return what a request loses on an engine to long prompts that come beside it later.
-
-    A long prompt takes the engines on which it delays the least. So the request is late for its
-    sake if as many parts of long prompts come while it writes as there are engines with less to
-    lose; the parts are taken to come evenly at random (Poisson).
+    """Return a function that gives the loss expected from later long prompts on an engine.
 
-    Serves 1.2% more of a calm day's worth where long and short prompts mix, nearly all of it short
-    answers without a pause (mean of four paired runs without it).
+    A long prompt takes the engines where it costs least. It therefore delays this request once more
+    parts of long prompts arrive during its answer than there are engines with less worth on them.
+    The parts are assumed to arrive as a Poisson process.
     """
     per_s = long_reads.parts_per_s(traits, job.pause_limit_s, now_s)
     if not per_s:
         return lambda _candidate: 0.0
     writing_s = job.answer_tokens * traits.step_s
-    chances = _chances_of_at_least(per_s * writing_s, len(candidates))
-    ordered = sorted([candidate.ledger.at_stake for candidate in candidates])
+    probabilities = _chances_of_at_least(per_s * writing_s, len(candidates))
+    ordered = sorted([candidate.ledger.total_worth for candidate in candidates])
 
-    def exposed(candidate: Candidate) -> float:
-        less_to_lose = bisect.bisect_left(ordered, candidate.ledger.at_stake + job.value)
-        return LATE_LOSS * job.value * chances[less_to_lose - 1]
+    def interference_loss(candidate: Candidate) -> float:
+        cheaper_engines = bisect.bisect_left(ordered, candidate.ledger.total_worth + job.value)
+        return LATE_LOSS * job.value * probabilities[cheaper_engines - 1]
 
-    return exposed
+    return interference_loss
 
 
-def _chances_of_at_least(mean: float, most: int) -> list[float]:
-    """Return the chances that a Poisson count is at least 1, 2, ... `most`."""
-    exact = math.exp(-mean)
-    chances, left = [], 1.0
-    for count in range(1, most + 1):
-        left -= exact
-        chances.append(max(0.0, left))
-        exact *= mean / count
-    return chances
+def _chances_of_at_least(mean: float, highest: int) -> list[float]:
+    """Return the probabilities that a Poisson count is at least 1, 2, ... `highest`."""
+    exactly_count = math.exp(-mean)
+    probabilities, remaining = [], 1.0
+    for count in range(1, highest + 1):
+        remaining -= exactly_count
+        probabilities.append(max(0.0, remaining))
+        exactly_count *= mean / count
+    return probabilities
 
 
-def _best_of(
+def _best_with_parts(
     traits: EngineTraits,
-    engines: Sequence[_Engine],
+    engines: Sequence[_EngineState],
     job: Job,
     parts: int,
     now_s: float,
 ) -> Placement | None:
     part_tokens = math.ceil(job.prompt_tokens / parts)
-    whole = job.prompt_tokens + job.answer_tokens
+    total_tokens = job.prompt_tokens + job.answer_tokens
     work = Work(part_tokens, job.answer_tokens, pair_share=float(parts))
     quotes = sorted(
         (
             _quote(traits, engine, work, now_s)
             for engine in engines
-            if parts > 1 or engine.candidate.tokens + whole <= traits.memory_tokens
+            if parts > 1 or engine.candidate.tokens + total_tokens <= traits.memory_tokens
         ),
-        key=lambda quote: quote.loss + _own_loss(job, quote.prospect),
+        key=lambda quote: quote.loss + _job_loss(job, quote.prediction),
+    )
+    if total_tokens > traits.memory_tokens:
+        return _select_engines(traits, quotes, job, parts, reserved=True)
+    # The fallback avoids waiting for one engine with nearly all of its memory free.
+    found = _select_engines(traits, quotes, job, parts, reserved=False)
+    return found or (
+        _select_engines(traits, quotes, job, parts, reserved=True) if parts > 1 else None
     )
-    if whole > traits.memory_tokens:
-        return _arrange(traits, quotes, job, parts, reserved=True)
-    # Else it would need an engine with nearly all of its memory free, and often find none.
-    found = _arrange(traits, quotes, job, parts, reserved=False)
-    return found or (_arrange(traits, quotes, job, parts, reserved=True) if parts > 1 else None)
 
 
-def _arrange(
+def _select_engines(
     traits: EngineTraits, quotes: Sequence[_Quote], job: Job, parts: int, reserved: bool
 ) -> Placement | None:
-    """Return the best of the quoted engines that have the memory, None if too few have.
+    """Choose the cheapest quoted engines with enough memory; None if there are too few.
 
-    Where helpers reserve memory each engine holds its part, else the answering one holds all.
+    If `reserved`, each engine holds its part of the prompt, else the answering engine holds all of
+    it.
     """
     part_tokens = math.ceil(job.prompt_tokens / parts)
-    whole = job.prompt_tokens + job.answer_tokens
-    held = part_tokens + job.answer_tokens if reserved else whole
-    mains = _with_room(traits, quotes, held)
-    if not mains:
+    total_tokens = job.prompt_tokens + job.answer_tokens
+    held = part_tokens + job.answer_tokens if reserved else total_tokens
+    answering = _with_free_memory(traits, quotes, held)
+    if not answering:
         return None
-    main = mains[0]
-    others = [quote for quote in quotes if quote is not main and quote.candidate.helps]
-    helpers = _with_room(traits, others, part_tokens if reserved else 0)[: parts - 1]
+    main = answering[0]
+    others = [quote for quote in quotes if quote is not main and quote.candidate.may_help]
+    helpers = _with_free_memory(traits, others, part_tokens if reserved else 0)[: parts - 1]
     if len(helpers) < parts - 1:
         return None
     chosen = [main, *helpers]
-    first_s = max(quote.prospect.first_event_s for quote in chosen)
-    prospect = Prospect(first_s, main.prospect.pause_s)
+    first_s = max(quote.prediction.first_event_s for quote in chosen)
+    prediction = Prediction(first_s, main.prediction.pause_s)
     names = tuple(quote.candidate.name for quote in helpers)
-    loss = _loss_of_all(job, chosen, prospect)
-    lost = _chance_late(first_s, job.lost_after_s)
+    loss = _total_loss(job, chosen, prediction)
+    abandoned = _chance_late(first_s, job.caller_leaves_after_s)
     return Placement(
-        main.candidate.name, names, part_tokens, reserved, loss, first_s, prospect.pause_s, lost
+        main.candidate.name,
+        names,
+        part_tokens,
+        reserved,
+        loss,
+        first_s,
+        prediction.pause_s,
+        abandoned,
     )
 
 
-def _with_room(traits: EngineTraits, quotes: Sequence[_Quote], tokens: float) -> list[_Quote]:
-    most = traits.memory_tokens
-    return [quote for quote in quotes if quote.candidate.tokens + tokens <= most]
+def _with_free_memory(
+    traits: EngineTraits, quotes: Sequence[_Quote], tokens: float
+) -> list[_Quote]:
+    limit = traits.memory_tokens
+    return [quote for quote in quotes if quote.candidate.tokens + tokens <= limit]
 
 
-def _loss_of_all(job: Job, chosen: Sequence[_Quote], prospect: Prospect) -> float:
-    """Return what the engines chosen for a request lose together, with the request's own loss."""
-    failing = 1 - math.prod(1 - quote.candidate.distrust for quote in chosen)
+def _total_loss(job: Job, chosen: Sequence[_Quote], prediction: Prediction) -> float:
+    """Return the expected loss of all requests on the chosen engines and of the new one."""
+    any_failure_chance = 1 - math.prod(1 - quote.candidate.failure_chance for quote in chosen)
     return (
         sum(quote.loss for quote in chosen)
-        + _own_loss(job, prospect)
-        + failing * job.value
+        + _job_loss(job, prediction)
+        + any_failure_chance * job.value
         + HELPER_COST * job.value * (len(chosen) - 1)
     )
 
 
-def _engine(traits: EngineTraits, candidate: Candidate, now_s: float, exposed: float) -> _Engine:
+def _engine_state(
+    traits: EngineTraits, candidate: Candidate, now_s: float, interference_loss: float
+) -> _EngineState:
     rows = list(candidate.ledger.rows.values())
     present = [row.work(now_s, traits) for row in rows]
-    if candidate.unknown_tokens:
-        present.append(Work(candidate.unknown_tokens, 0.0, writes=False))
-    cost = candidate.distrust + exposed
-    cost += AWAY_COST if candidate.away else 0.0
+    if candidate.unaccounted_tokens:
+        present.append(Work(candidate.unaccounted_tokens, 0.0, writes=False))
+    cost = candidate.failure_chance + interference_loss
+    cost += REMOTE_HALL_COST if candidate.in_other_hall else 0.0
     cost += 0.0 if candidate.connected else CONNECT_COST
     if not present:
         cost += IDLE_COST
-    nothing = Work(0.0, 0.0)
-    before = predict(traits, present, nothing, candidate.pace) if rows else ()
-    losses = [_loss(row, soon, now_s) for row, soon in zip(rows, before, strict=False)]
-    return _Engine(candidate, cost, rows, present, losses)
+    no_work = Work(0.0, 0.0)
+    before = predict(traits, present, no_work, candidate.pace) if rows else ()
+    losses = [
+        _row_loss(row, prediction, now_s) for row, prediction in zip(rows, before, strict=False)
+    ]
+    return _EngineState(candidate, cost, rows, present, losses)
 
 
-def _quote(traits: EngineTraits, engine: _Engine, work: Work, now_s: float) -> _Quote:
+def _quote(traits: EngineTraits, engine: _EngineState, work: Work, now_s: float) -> _Quote:
     after = predict(traits, engine.present, work, engine.candidate.pace)
     delays = sum(
-        _loss(row, late, now_s) - before
+        _row_loss(row, late, now_s) - before
         for row, before, late in zip(engine.rows, engine.before, after, strict=False)
     )
     return _Quote(engine.candidate, engine.cost + delays, after[-1])
 
 
-def _loss(row: LedgerRow, prospect: Prospect, now_s: float) -> float:
+def _row_loss(row: LedgerRow, prediction: Prediction, now_s: float) -> float:
     stake: Stake = row.stake
-    late = lost = 0.0
+    late = abandoned = 0.0
     if row.first_event_s is None:
-        late = _chance_late(prospect.first_event_s, stake.first_due_s - now_s)
-        lost = _chance_late(prospect.first_event_s, stake.lost_s - now_s)
+        late = _chance_late(prediction.first_event_s, stake.first_due_s - now_s)
+        abandoned = _chance_late(prediction.first_event_s, stake.caller_leaves_s - now_s)
     if row.writes:
-        late = max(late, _chance_late(prospect.pause_s, stake.pause_limit_s))
-        # Its caller leaves in a longer pause, so that all of its worth is lost.
-        lost = max(lost, _chance_late(prospect.pause_s, row.patience_s))
-    return (late * LATE_LOSS + lost * (1 - LATE_LOSS)) * stake.value
+        late = max(late, _chance_late(prediction.pause_s, stake.pause_limit_s))
+        # The caller leaves during a longer pause, so the whole worth is lost.
+        abandoned = max(abandoned, _chance_late(prediction.pause_s, row.caller_wait_s))
+    return (late * LATE_LOSS + abandoned * (1 - LATE_LOSS)) * stake.value
 
 
-def _own_loss(job: Job, prospect: Prospect) -> float:
+def _job_loss(job: Job, prediction: Prediction) -> float:
     late = max(
-        _chance_late(prospect.first_event_s, job.first_due_s),
-        _chance_late(prospect.pause_s, job.pause_limit_s),
+        _chance_late(prediction.first_event_s, job.first_due_s),
+        _chance_late(prediction.pause_s, job.pause_limit_s),
     )
-    lost = _chance_late(prospect.first_event_s, job.lost_after_s)
-    delay_s = min(prospect.first_event_s, LONGEST_DELAY_S)
-    return job.value * (late * LATE_LOSS + lost * (1 - LATE_LOSS) + DELAY_COST * delay_s)
+    abandoned = _chance_late(prediction.first_event_s, job.caller_leaves_after_s)
+    delay_s = min(prediction.first_event_s, MAX_COSTED_DELAY_S)
+    return job.value * (late * LATE_LOSS + abandoned * (1 - LATE_LOSS) + DELAY_COST_PER_S * delay_s)
 
 
 def _chance_late(time_s: float, limit_s: float) -> float:
--- a/gladedrum/scheduling/decisions.py
+++ b/gladedrum/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""The answers that the scheduling code gives."""
+"""Results of scheduling decisions, and the inputs that owners and entry boxes exchange for them."""
 
 from typing import NamedTuple
 
@@ -15,7 +15,7 @@
     job : Job
         The request.
     priority : int
-        What the engine is told; lower goes first.
+        Priority on the engine; lower goes first.
     """
 
     job: Job
@@ -23,20 +23,20 @@
 
 
 class Queued(NamedTuple):
-    """The request waits; a `Grant` for it will come from the queue later."""
+    """The request waits; the queue will return a `Grant` for it later."""
 
     job: Job
 
 
 class Refused(NamedTuple):
-    """The request cannot be taken.
+    """The request is not accepted.
 
     Parameters
     ----------
     reason : str
-        Why, for a person.
+        Human-readable reason.
     retry_after_s : float
-        When it would be worth asking again, in seconds from now.
+        Seconds after which a retry may succeed.
     """
 
     reason: str
@@ -44,11 +44,11 @@
 
 
 Offered = Queued | Refused
-"""What offering a request to a queue can lead to."""
+"""Result of offering a request to a queue."""
 
 
 class Expected(NamedTuple):
-    """What a target's owner expects of a request, for the policy to weigh.
+    """Times that a target's owner expects for a request, as input for the policy.
 
     Parameters
     ----------
@@ -56,27 +56,27 @@
         Time from now to the first token, in seconds.
     prefill_s : float
         Duration of its prefill alone, in seconds.
-    passed_per_s : float
-        For each request that it would pass, one over the duration of that one's prefill, added
-        up; times `prefill_s` this is the slowdown that it brings to others.
+    overtaken_per_s : float
+        Sum of the inverse prefill durations of the requests that it would overtake. Times
+        `prefill_s`, this is the sum of their relative delays.
     """
 
     first_token_s: float
     prefill_s: float
-    passed_per_s: float
+    overtaken_per_s: float
 
 
 class Quote(NamedTuple):
-    """What a target's owner expects of a request.
+    """A target owner's offer for a request.
 
     Parameters
     ----------
     first_token_s : float
         Expected time from now to the first token, in seconds.
     cost : float
-        What the policy compares between targets, in seconds; lower is better.
+        The policy's cost for comparing targets, in seconds; lower is better.
     refused : Refused or None
-        Set if the owner would not take the request.
+        Set if the owner would not accept the request.
     """
 
     first_token_s: float
@@ -85,7 +85,7 @@
 
 
 class TargetView(NamedTuple):
-    """What an entry box knows of a target when it looks for candidates.
+    """What an entry box knows about a candidate target.
 
     Parameters
     ----------
--- a/gladedrum/scheduling/engine_model.py
+++ b/gladedrum/scheduling/engine_model.py
@@ -1,9 +1,12 @@
-"""A model of how an engine spends its time, for predictions and for the stand-in.
+"""Model of an engine's time, for predictions and for the simulated targets.
 
-An engine works in passes. While requests write, a pass has `stride` steps and each writer gets
-one event at its end; prompts are read in between, at most `chunk` tokens a step. A pass without
-writers is one step. What delays a short answer is therefore the reading beside it, which
-stretches the passes, far more than the number of requests.
+Terms: an engine *reads* a prompt (prefill) and *writes* an answer (decode). It works in passes.
+While requests write, a pass has `stride` steps, and each writer emits one event of `stride` tokens
+at its end; a pass without writers has one step. Prompts are read between the steps, at most `chunk`
+tokens per step. Reading therefore stretches the passes and with them the pauses between events, far
+more than the number of writers does. The cost of reading has a term for each *pair* of a token and
+an earlier one (attention). A prompt may be read in parts by several engines; these parts are
+*joint*.
 
 Examples
 --------
@@ -17,42 +20,42 @@
 from dataclasses import dataclass
 from typing import NamedTuple, TypeVar
 
-__all__ = ["EngineTraits", "Prospect", "Work", "predict", "read_time_s", "reading_order"]
+__all__ = ["EngineTraits", "Prediction", "Work", "predict", "read_time_s", "reading_order"]
 
 _T = TypeVar("_T")
 
 _NEVER = float("inf")
-"""The time of an event that does not come within the passes played."""
+"""Time of an event that does not occur within the simulated passes."""
 
-_MOST_PASSES = 24
-"""Passes that a prediction plays; later ones differ little from the last."""
+_MAX_PASSES = 24
+"""Number of passes that a prediction simulates; later ones differ little from the last."""
 
 
 class EngineTraits(NamedTuple):
-    """The figures of an engine; the defaults are those of the first deployments.
+    """Size and speed of an engine.
 
     Parameters
     ----------
     slots : int
-        Requests that run at once.
+        Number of requests that run at once.
     memory_tokens : int
         Memory for prompts and answers, in tokens.
     step_s, per_writer_s, per_context_token_s : float
-        A step costs the first, plus the others for each writer and each token of its context.
+        Duration of a step: a constant, plus one term per writer and one per token of its context.
     read_tokens_per_s : float
-        Speed of reading prompts.
+        Reading speed.
     per_pair_s : float
-        Further cost of reading for each pair of a token and one before it.
+        Additional reading time for each pair of a token and an earlier one.
     chunk : int
-        The most prompt tokens that are read in a step.
+        Maximum number of prompt tokens read in a step.
     stride : int
-        Steps of a pass with writers, which is the tokens of an event.
+        Steps of a pass with writers, and tokens of an event.
     hop_s : float
-        Added to each step of a request whose memory lies on several engines.
+        Added to each step of a request whose memory is spread over several engines.
     report_lag_s : float
-        How old a report on the load may be when it is given.
+        Maximum age of a load report when it is sent.
     usual_answer : float
-        Mean tokens of an answer, for requests that don't say.
+        Mean length of an answer in tokens, for requests that do not state one.
     """
 
     slots: int = 8
@@ -78,13 +81,14 @@
     read_left : float
         Prompt tokens still to be read here; 0 once the request writes.
     answer_left : float
-        Tokens still to be written.
+        Answer tokens still to be written.
     depth : float
-        Prompt tokens before the ones still to be read.
+        Prompt tokens before those still to be read.
     pair_share : float
-        Share of the prompt's pairs that are computed here; below 1 with helping engines.
+        Factor on the pairs of the tokens read here. It is the number of parts for a part of a joint
+        prompt, as the pairs of the whole prompt are shared evenly.
     writes : bool
-        Whether it writes here when it is read; False on helping engines.
+        Whether it writes here once it is read; False on helpers.
     """
 
     read_left: float
@@ -94,58 +98,60 @@
     writes: bool = True
 
     @property
-    def joint(self) -> bool:
+    def is_joint(self) -> bool:
         """Whether it is a part of a prompt that several engines read."""
         return self.pair_share > 1 or not self.writes
 
 
-class Prospect(NamedTuple):
-    """What a request is to expect: seconds to its first event, and its longest pause."""
+class Prediction(NamedTuple):
+    """Predicted seconds to a request's first event, and its longest pause."""
 
     first_event_s: float
     pause_s: float
 
 
 def read_time_s(traits: EngineTraits, tokens: float, depth: float = 0.0) -> float:
-    """Return the time to read `tokens` that follow `depth` others, without steps."""
+    """Return the time to read `tokens` that follow `depth` others, without the steps."""
     pairs = tokens * depth + tokens * tokens / 2
     return tokens / traits.read_tokens_per_s + pairs * traits.per_pair_s
 
 
 def predict(
     traits: EngineTraits, present: Sequence[Work], newcomer: Work, pace: float = 1.0
-) -> list[Prospect]:
-    """Play the coming passes of an engine.
+) -> list[Prediction]:
+    """Simulate the coming passes of an engine.
 
     Parameters
     ----------
     traits : EngineTraits
-        The engine's figures.
+        Size and speed of the engine.
     present : sequence of Work
-        What the engine has, in the order of admission.
+        The requests on the engine, in order of admission.
     newcomer : Work
-        What would come last.
+        The request that is added last.
     pace : float
-        Over 1 if the engine is slower than its figures.
+        Factor by which the engine is slower than its traits.
 
     Returns
     -------
-    list of Prospect
-        One for each of `present`, then the newcomer's. A request that writes already has a first
-        event after 0 s; one that does not start within the passes played has infinity.
+    list of Prediction
+        One for each of `present`, then the newcomer's. The first event of a request that writes
+        already is at 0 s, that of a request that does not start in the simulated passes at
+        infinity.
     """
-    played = _Playing(traits, [*present, newcomer], pace)
-    for _ in range(_MOST_PASSES):
-        if not played.play_pass():
+    simulation = _Simulation(traits, [*present, newcomer], pace)
+    for _ in range(_MAX_PASSES):
+        if not simulation.run_pass():
             break
-    return played.prospects
+    return simulation.predictions
 
 
-class _Playing:
-    """The state of an engine while its coming passes are played.
+class _Simulation:
+    """The state of an engine while its coming passes are simulated.
 
-    Lists go by the place of a request in `works`. A box that decides for a large fleet plays
-    thousands of passes a second, so each looks at a request once.
+    All lists are indexed by the position of a request in `works`. Plain lists and a single loop
+    over the requests keep a pass cheap: a box that decides for a large fleet simulates thousands a
+    second.
     """
 
     def __init__(self, traits: EngineTraits, works: Sequence[Work], pace: float):
@@ -163,12 +169,12 @@
         self._pause_s = [0.0] * len(works)
 
     @property
-    def prospects(self) -> list[Prospect]:
-        """What each request is to expect, as far as was played."""
-        return list(map(Prospect, self._first_s, self._pause_s))
+    def predictions(self) -> list[Prediction]:
+        """Prediction for each request from the passes simulated so far."""
+        return list(map(Prediction, self._first_s, self._pause_s))
 
-    def play_pass(self) -> bool:
-        """Play one pass; return whether a further one can tell more."""
+    def run_pass(self) -> bool:
+        """Simulate one pass; return whether another one can change the predictions."""
         writers, readers = self._running()
         if not writers and not readers:
             return False
@@ -180,11 +186,11 @@
         return bool(readers) or _NEVER in self._first_s
 
     def _running(self) -> tuple[list[int], list[int]]:
-        """Return which requests write and which are read, the latter in the order of reading."""
+        """Return the requests that write, and those that are read, in reading order."""
         writers: list[int] = []
         joint: list[int] = []
         whole: list[int] = []
-        room = self._traits.slots
+        free_slots = self._traits.slots
         for i, read_left in enumerate(self._read_left):
             if read_left > 0:
                 (joint if self._joint[i] else whole).append(i)
@@ -192,10 +198,10 @@
                 writers.append(i)
             else:
                 continue
-            room -= 1
-            if not room:
+            free_slots -= 1
+            if not free_slots:
                 break
-        # As `reading_order`.
+        # The same order as `reading_order`.
         joint.reverse()
         return writers, joint + whole
 
@@ -205,35 +211,35 @@
         return max(1, -int(-self._read_left[readers[0]] // self._traits.chunk))
 
     def _step_time_s(self, writers: Sequence[int]) -> float:
-        """Return the time of one step, without reading."""
+        """Return the duration of one step, without reading."""
         traits = self._traits
         context = sum([self._depth[i] for i in writers])
         writing_s = len(writers) * traits.per_writer_s
         return traits.step_s + writing_s + context * traits.per_context_token_s
 
     def _read_all(self, readers: Sequence[int], steps: int, step_s: float) -> float:
-        """Read what a pass has room for; return the time that it takes, without steps."""
+        """Read as much as a pass allows; return the time it takes, without the steps."""
         chunk = self._traits.chunk
         budget = steps * chunk
         read_s = 0.0
         for i in readers:
-            taken = min(self._read_left[i], budget)
-            if taken <= 0:
+            read_tokens = min(self._read_left[i], budget)
+            if read_tokens <= 0:
                 break
-            read_s += self._read(i, taken)
-            budget -= taken
+            read_s += self._read(i, read_tokens)
+            budget -= read_tokens
             if self._read_left[i] <= 0 and not self._writes[i]:
-                # A part for another engine is done within the pass, at the step that reads its end.
+                # A helper finishes within the pass, at the step that reads the last token.
                 steps_so_far = steps - budget / chunk
                 self._first_s[i] = self._now_s + (steps_so_far * step_s + read_s) * self._pace
         return read_s
 
-    def _read(self, i: int, taken: float) -> float:
-        """Read tokens of a prompt; return the time that it takes, without steps."""
-        pairs = (taken * self._depth[i] + taken * taken / 2) * self._pair_share[i]
-        self._read_left[i] -= taken
-        self._depth[i] += taken
-        return taken / self._traits.read_tokens_per_s + pairs * self._traits.per_pair_s
+    def _read(self, i: int, read_tokens: float) -> float:
+        """Read tokens of a prompt; return the time it takes, without the steps."""
+        pairs = (read_tokens * self._depth[i] + read_tokens * read_tokens / 2) * self._pair_share[i]
+        self._read_left[i] -= read_tokens
+        self._depth[i] += read_tokens
+        return read_tokens / self._traits.read_tokens_per_s + pairs * self._traits.per_pair_s
 
     def _write(self, writers: Sequence[int]) -> None:
         now_s, stride = self._now_s, self._traits.stride
@@ -247,12 +253,9 @@
 
 
 def reading_order(readers: Sequence[_T], is_joint: Callable[[_T], bool]) -> list[_T]:
-    """Return the order in which prompts are read: joint parts first, the newest of them first.
+    """Return the reading order of an engine: joint parts first, the newest of them first.
 
-    `readers` come in the order of admission; `is_joint` as `Work.joint`.
-
-    That the newest goes first is not published; it was found from first events that came as much
-    later as later parts took.
+    `readers` are in order of admission; `is_joint` tells whether one is a part of a joint prompt.
     """
     joint = [reader for reader in readers if is_joint(reader)]
     return [*reversed(joint), *(reader for reader in readers if not is_joint(reader))]
--- a/gladedrum/scheduling/jobs.py
+++ b/gladedrum/scheduling/jobs.py
@@ -1,4 +1,4 @@
-"""What the scheduling decisions know of a request and of an engine."""
+"""Descriptions of requests and engines for scheduling decisions."""
 
 from typing import NamedTuple
 
@@ -12,16 +12,16 @@
 ]
 
 LONG_PROMPT_TOKENS = 32_000
-"""From this prompt length on a request counts as long, in tokens."""
+"""Prompts of at least this length count as long, in tokens."""
 
 PREFIX_STEP_TOKENS = 1_024
-"""The shortest leading part that is compared between prompts."""
+"""Length of the shortest prefix that is compared between prompts, in tokens."""
 
 PREFIX_GROWTH = 4
-"""How many times longer the next leading part is."""
+"""Ratio of the lengths of successive compared prefixes."""
 
 MAX_DIGESTS = 4
-"""The most leading parts of a prompt that are compared."""
+"""Maximum number of prefixes compared per prompt."""
 
 
 class Job(NamedTuple):
@@ -30,25 +30,25 @@
     Parameters
     ----------
     job_id : str
-        Unique for each try of each request.
+        Unique for each attempt of each request.
     organisation : str
-        Who asks.
+        The customer.
     request_class : str
         The class named by the caller, e.g. ``clause`` or ``dossier``.
     prompt_tokens, output_tokens : int
-        Length of the prompt, and the most the answer may have.
+        Length of the prompt, and maximum length of the answer.
     arrival_s, deadline_s : float
-        On the clock of whoever decides, in seconds.
+        Times on the clock of the deciding box, in seconds.
     weight : float
-        The organisation's weight; twice the weight is twice the share.
+        Weight of the organisation; its fair share is proportional to it.
     prefix : tuple of int
-        Digests of the prompt's leading part, shortest first.
+        Digests of the prompt's prefixes, shortest first.
     entry_box : str
-        The box that received it.
+        The box that received the request.
     start_tokens : int
-        Where it starts in a longer prompt, if it is a segment of one.
+        Position of its first token in a longer prompt, if it is a segment of one.
     whole_tokens : int
-        The length of that longer prompt; 0 if it is no segment.
+        Length of that longer prompt; 0 if it is not a segment.
     """
 
     job_id: str
@@ -66,7 +66,7 @@
 
     @property
     def memory_tokens(self) -> int:
-        """The memory that it takes for its whole life, in tokens."""
+        """Memory for its prompt and full answer, in tokens."""
         return self.prompt_tokens + self.output_tokens
 
     @property
@@ -76,7 +76,7 @@
 
     @property
     def length_tokens(self) -> int:
-        """The length of the whole prompt, in tokens."""
+        """Length of the whole prompt, in tokens."""
         return self.whole_tokens or self.prompt_tokens
 
 
@@ -90,11 +90,11 @@
     prefill_tokens_per_s : float
         Prefill speed at the start of a prompt.
     attention_tokens : int
-        The position in a prompt at which prefilling a token takes twice as long.
+        Position in a prompt at which prefilling a token takes twice as long.
     decode_step_s : float
         Time between two tokens without prefill, in seconds.
     chunk_tokens : int
-        The most tokens that the engine prefills between two tokens of an answer.
+        Maximum number of tokens that the engine prefills between two tokens of an answer.
     """
 
     memory_tokens: int
@@ -104,7 +104,7 @@
     chunk_tokens: int = 512
 
     def prefill_s(self, tokens: int, start_tokens: int = 0) -> float:
-        """Return the seconds to prefill up to position `tokens`, from `start_tokens` on."""
+        """Return the seconds to prefill from position `start_tokens` to `tokens`."""
         fresh = max(1, tokens - start_tokens)
         middle = start_tokens + fresh / 2
         compute_s = fresh / self.prefill_tokens_per_s * (1 + middle / self.attention_tokens)
--- a/gladedrum/scheduling/ledger.py
+++ b/gladedrum/scheduling/ledger.py
@@ -1,6 +1,8 @@
-"""What each engine has to do, as far as a box knows: its own requests and what peers tell.
+"""The work on each engine as far as a box knows it.
 
-The ledger is an estimate for placement. Nothing that must hold depends on it.
+A ledger holds this box's own requests and those that peers announced. It is an estimate for
+placement only; no guarantee depends on it. Terms (reading, writing, event, pause) are those of
+`engine_model`.
 """
 
 from dataclasses import dataclass
@@ -9,68 +11,69 @@
 
 __all__ = ["EngineLedger", "LedgerRow", "Stake"]
 
-_FORGOTTEN_AFTER_S = 40.0
-"""A row whose end was never told is dropped after so many seconds: longer than any request."""
+_ROW_EXPIRY_S = 40.0
+"""A row is dropped after this time, in seconds, if its end was not announced; no request runs
+longer."""
 
 CALLER_WAIT_S, CALLER_WAIT_X, CALLER_WAIT_PAUSES_X = 2.0, 4, 8
-"""A caller gives a stream up after a pause of so many seconds, so many times its objective, or so
-many times the pause aimed at, whichever is longest; published."""
+"""A caller abandons a stream after a pause of this many seconds, this multiple of its objective for
+the first event or this multiple of its objective for pauses, whichever is longest."""
 
-_WRITING_SHARE = 0.88
-"""Share of an engine's time that goes into steps, while requests write; the rest is reading, by the
-passes of 50 ms in place of 44 ms that the first deployments showed."""
+_WRITING_TIME_SHARE = 0.88
+"""Share of an engine's time that goes into steps while requests write; the rest is reading."""
 
-_LEAST_LEFT = 0.15
-"""The least share of an expected answer that is taken to be left while the request is here."""
+_MIN_ANSWER_LEFT_SHARE = 0.15
+"""Least share of the expected answer that counts as unwritten while the request is still
+present."""
 
 
 @dataclass(slots=True)
 class Stake:
-    """What a request has to lose.
+    """The worth of a request and the times by which it loses that worth.
 
     Parameters
     ----------
     value : float
-        Its worth in time, in units of the smallest request's.
+        Its worth if it is on time, in units of the smallest request's.
     first_due_s : float
         When its first event is due, by the monotonic clock.
     pause_limit_s : float
-        The longest pause between events that is aimed at.
-    lost_s : float
-        When its caller leaves if no event has come, by the monotonic clock.
+        Objective for the longest pause between events, in seconds.
+    caller_leaves_s : float
+        When its caller leaves if there has been no event, by the monotonic clock.
     """
 
     value: float
     first_due_s: float
     pause_limit_s: float
-    lost_s: float = float("inf")
+    caller_leaves_s: float = float("inf")
 
 
 @dataclass(slots=True)
 class LedgerRow:
-    """One request, or a helping part of one, on an engine.
+    """One request, or a helper's part of one, on an engine.
 
     Parameters
     ----------
     work_id : str
-        Unique to the try.
+        Unique to the attempt.
     prompt_tokens : float
         Tokens that this engine reads.
     pair_share : float
         See `Work.pair_share`.
     answer_tokens : float
-        Expected length of the answer; 0 on helping engines.
+        Expected length of the answer; 0 on helpers.
     held_tokens : float
-        Memory that it takes here: the whole prompt and answer where it is answered, unless the
-        helping engines hold their parts.
+        Memory held here, in tokens. The answering engine holds the whole prompt and answer, unless
+        the helpers hold their parts.
     writes : bool
         Whether the answer is written here.
     stake : Stake
-        What it has to lose here.
+        Its worth and time limits.
     placed_s : float
         When it was placed, by the monotonic clock.
     first_event_s : float or None
-        When its first event came, None before.
+        When its first event arrived, None before.
     read_left : float
         Estimated tokens still to be read.
     """
@@ -91,26 +94,28 @@
             self.read_left = self.prompt_tokens
 
     @property
-    def joint(self) -> bool:
+    def is_joint(self) -> bool:
         """Whether it is a part of a prompt that several engines read."""
         return self.pair_share > 1 or not self.writes
 
     @property
-    def patience_s(self) -> float:
-        """How long its caller waits for a further event, in seconds.
+    def caller_wait_s(self) -> float:
+        """How long its caller waits for the next event, in seconds.
 
-        The objective is what was left until its first event was due when it was placed.
+        The objective is the time that was left until its first event was due when it was placed.
         """
         objective_s = self.stake.first_due_s - self.placed_s
         pauses_s = CALLER_WAIT_PAUSES_X * self.stake.pause_limit_s
         return max(CALLER_WAIT_S, CALLER_WAIT_X * objective_s, pauses_s)
 
     def work(self, now_s: float, traits: EngineTraits) -> Work:
-        """Return what is left of it on an engine with these traits."""
+        """Return its remaining work on an engine with these traits."""
         answer_left = self.answer_tokens
         if self.first_event_s is not None:
-            written = (now_s - self.first_event_s) * _WRITING_SHARE / traits.step_s
-            answer_left = max(self.answer_tokens * _LEAST_LEFT, self.answer_tokens - written)
+            written = (now_s - self.first_event_s) * _WRITING_TIME_SHARE / traits.step_s
+            answer_left = max(
+                self.answer_tokens * _MIN_ANSWER_LEFT_SHARE, self.answer_tokens - written
+            )
         return Work(
             read_left=self.read_left,
             answer_left=max(1.0, answer_left) if self.writes else 0.0,
@@ -121,41 +126,41 @@
 
 
 class EngineLedger:
-    """The requests on one engine, in the order in which they were placed.
+    """The requests on one engine, in order of placement.
 
-    Sums over its requests are kept rather than made anew, since a box that decides for a large
-    fleet looks at every engine for each request.
+    Sums are maintained incrementally, since a box that decides for a large fleet reads them on
+    every engine for each request.
 
     Attributes
     ----------
     rows : dict of str to LedgerRow
-        The requests, by the ids of their work.
+        The requests, by work id.
     tokens : float
-        Memory that they take, in tokens.
-    at_stake : float
-        What they are worth in time.
+        Memory that they hold, in tokens.
+    total_worth : float
+        Sum of their worth if on time.
     """
 
     def __init__(self) -> None:
         self.rows: dict[str, LedgerRow] = {}
         self.tokens = 0.0
-        self.at_stake = 0.0
+        self.total_worth = 0.0
         self._unread: dict[str, LedgerRow] = {}
         self._advanced_s = float("-inf")
 
     def add(self, row: LedgerRow, traits: EngineTraits, now_s: float) -> None:
-        """Note a placed request."""
+        """Add a placed request."""
         self.advance(traits, now_s)
         if row.work_id in self.rows:
             return
         self.rows[row.work_id] = row
         self.tokens += row.held_tokens
-        self.at_stake += row.stake.value
+        self.total_worth += row.stake.value
         if row.read_left > 0:
             self._unread[row.work_id] = row
 
     def note_first_event(self, work_id: str, now_s: float) -> None:
-        """Note that the request writes."""
+        """Record that a request was read and now writes."""
         row = self.rows.get(work_id)
         if row is not None and row.first_event_s is None:
             row.first_event_s = now_s
@@ -163,44 +168,46 @@
             self._unread.pop(work_id, None)
 
     def remove(self, work_id: str) -> None:
-        """Note that the request has left the engine."""
+        """Remove a request that has left the engine."""
         row = self.rows.pop(work_id, None)
         if row is None:
             return
         self._unread.pop(work_id, None)
-        # What rounding leaves does not add up over a long life.
+        # Resetting to zero keeps rounding errors from accumulating.
         self.tokens = self.tokens - row.held_tokens if self.rows else 0.0
-        self.at_stake = self.at_stake - row.stake.value if self.rows else 0.0
+        self.total_worth = self.total_worth - row.stake.value if self.rows else 0.0
 
     def advance(self, traits: EngineTraits, now_s: float) -> None:
-        """Estimate how far the prompts have been read by now."""
+        """Update how far the prompts have been read by now."""
         left_s = now_s - self._advanced_s
         self._advanced_s = now_s
-        self._forget_overdue(now_s)
+        self._drop_expired(now_s)
         if not self._unread:
             return
-        for row in reading_order(list(self._unread.values()), lambda row: row.joint):
+        for row in reading_order(list(self._unread.values()), lambda row: row.is_joint):
             if left_s <= 0:
                 break
             left_s = min(left_s, now_s - row.placed_s)
             depth = row.prompt_tokens - row.read_left
-            whole_s = max(1e-9, read_time_s(traits, row.read_left, depth) * max(1, row.pair_share))
-            share = min(1.0, left_s / whole_s)
+            reading_s = max(
+                1e-9, read_time_s(traits, row.read_left, depth) * max(1, row.pair_share)
+            )
+            share = min(1.0, left_s / reading_s)
             row.read_left *= 1 - share
-            left_s -= whole_s * share
+            left_s -= reading_s * share
             if row.read_left <= 0:
                 del self._unread[row.work_id]
 
     @property
     def unread(self) -> float:
-        """Prompt tokens still to be read, each as often as there are parts of its prompt."""
+        """Prompt tokens still to be read, each multiplied by the number of parts of its prompt."""
         return sum([row.read_left * row.pair_share for row in self._unread.values()])
 
     def reads_until_s(self, traits: EngineTraits) -> float | None:
-        """Return when the prompts that are read here will have been read; None if there is none.
+        """Return when all prompts being read here will have been read; None if there are none.
 
-        Streams on the engine may pause until then. A part of a prompt counts by its own tokens and
-        its share of all pairs, as engines read it.
+        Streams on the engine may pause until then. A part counts by its own tokens and its share of
+        the whole prompt's pairs.
         """
         unread = self._unread.values()
         if not unread:
@@ -212,10 +219,10 @@
         ]
         return min(row.placed_s for row in unread) + sum(work_s)
 
-    def _forget_overdue(self, now_s: float) -> None:
-        """Drop the requests whose end was never told; the first is the oldest."""
+    def _drop_expired(self, now_s: float) -> None:
+        """Drop requests whose end was never announced; rows are in order of placement."""
         while self.rows:
             oldest = next(iter(self.rows.values()))
-            if now_s - oldest.placed_s <= _FORGOTTEN_AFTER_S:
+            if now_s - oldest.placed_s <= _ROW_EXPIRY_S:
                 return
             self.remove(oldest.work_id)
--- a/gladedrum/scheduling/placements.py
+++ b/gladedrum/scheduling/placements.py
@@ -1,8 +1,8 @@
-"""The placement half of each policy, for boxes that forward: which engines get a request.
+"""Placement functions of the policies: which engines get a forwarded request.
 
-A policy has one name, in the cell ``policy`` of the table of weights and limits, wherever it
-decides. Here it is a function of the engines' traits, the candidates and the request, without
-state, so that it can be swapped while requests run.
+The cell ``policy`` of the table of weights and limits names a policy for queueing (see `policies`)
+and for placement alike. Placement functions are stateless, so a policy can be changed while
+requests run.
 
 Examples
 --------
@@ -22,30 +22,30 @@
 PlacementPolicy = Callable[
     [EngineTraits, Sequence[Candidate], Job, float, LongReads | None], Placement | None
 ]
-"""Chooses engines for a request at a time, by the long prompts that came of late; None if no set of
-candidates has the memory."""
+"""Chooses the engines for a request at a given time, given the recent long prompts; None if no set
+of candidates has the memory."""
 
 LONG_TOKENS = 32_000
-"""Prompts of so many tokens count as long for `length_pools`."""
+"""Prompts of at least this length count as long for `length_pools`."""
 
 LONG_SHARE = 0.5
-"""Share of the engines that `length_pools` keeps for long prompts."""
+"""Share of the engines that `length_pools` reserves for long prompts."""
 
 _policies: dict[str, PlacementPolicy] = {"fair_slack": credit.place}
 
 
 def register(name: str) -> Callable[[PlacementPolicy], PlacementPolicy]:
-    """Register a function as the placement of the policy `name`."""
+    """Register the decorated function as the placement of the policy `name`."""
 
-    def keep(policy: PlacementPolicy) -> PlacementPolicy:
+    def decorate(policy: PlacementPolicy) -> PlacementPolicy:
         _policies[name] = policy
         return policy
 
-    return keep
+    return decorate
 
 
 def placement_names() -> list[str]:
-    """Return the names of the policies that can place, sorted."""
+    """Return the names of the policies with a placement, sorted."""
     return sorted(_policies)
 
 
@@ -57,20 +57,20 @@
     now_s: float,
     long_reads: LongReads | None = None,
 ) -> Placement | None:
-    """Place a request by a policy; one without a placement of its own places as `fair_slack`."""
+    """Place a request by a policy; `fair_slack` if the policy has no placement of its own."""
     return _policies.get(name, credit.place)(traits, candidates, job, now_s, long_reads)
 
 
 @register("fifo")
-def place_in_turn(
+def place_fewest_requests(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
     _long_reads: LongReads | None = None,
 ) -> Placement | None:
-    """Take the engine with the fewest requests, whatever they are: a baseline."""
-    return _least(traits, candidates, job, now_s, lambda c: len(c.ledger.rows))
+    """Choose the engine with the fewest requests of any size: a baseline."""
+    return _least_by(traits, candidates, job, now_s, lambda c: len(c.ledger.rows))
 
 
 @register("least_loaded")
@@ -81,8 +81,8 @@
     now_s: float,
     _long_reads: LongReads | None = None,
 ) -> Placement | None:
-    """Take the engine with the fewest tokens: a baseline."""
-    return _least(traits, candidates, job, now_s, lambda c: c.tokens)
+    """Choose the engine with the fewest tokens in memory: a baseline."""
+    return _least_by(traits, candidates, job, now_s, lambda c: c.tokens)
 
 
 @register("length_pools")
@@ -93,21 +93,21 @@
     now_s: float,
     _long_reads: LongReads | None = None,
 ) -> Placement | None:
-    """Keep one half of the engines for long prompts: the usual way out, as a baseline."""
+    """Reserve half of the engines for long prompts: a common baseline."""
     ordered = sorted(candidates, key=lambda candidate: candidate.name)
     split = max(1, round(len(ordered) * LONG_SHARE))
     pool = ordered[:split] if job.prompt_tokens >= LONG_TOKENS else ordered[split:]
     return place_least_loaded(traits, pool or ordered, job, now_s)
 
 
-def _least(
+def _least_by(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
     load: Callable[[Candidate], float],
 ) -> Placement | None:
-    """Take the least loaded engine; what fits no one engine is placed as by `fair_slack`."""
+    """Choose the least loaded engine; prompts that fit no single engine go by `fair_slack`."""
     whole = job.prompt_tokens + job.answer_tokens
     if whole > traits.memory_tokens:
         return credit.place(traits, candidates, job, now_s)
--- a/gladedrum/scheduling/policies/__init__.py
+++ b/gladedrum/scheduling/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Policies by name. A new policy is one module here and one registration."""
+"""Queueing policies by name. A new policy is a module that registers it and is imported below."""
 
 from . import fair_slack, fifo, least_loaded, length_pools
 from .core import *
--- a/gladedrum/scheduling/policies/core.py
+++ b/gladedrum/scheduling/policies/core.py
@@ -1,4 +1,4 @@
-"""What a policy is, and the registry of policies."""
+"""The interface of policies, and their registry."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -23,22 +23,22 @@
     Parameters
     ----------
     memory_tokens, free_tokens : int
-        The engine's memory, and what of it is not reserved, in tokens.
+        The engine's memory, and the part of it that is not reserved, in tokens.
     running, waiting : int
-        Requests with a reservation and requests in the queue.
+        Number of requests with a reservation, and of requests in the queue.
     long_tokens : int
-        The memory that long requests hold, in tokens.
+        Memory held by long requests, in tokens.
     long_prefills : tuple of int
-        The prompt lengths of the long requests whose first token has not come, in tokens.
+        Prompt lengths of the long requests before their first token, in tokens.
     long_step_s : float
-        The time that one step of the slowest of them is expected to take, in seconds; 0 if
-        there is none.
+        Longest expected step of these requests, in seconds; 0 if there are none.
     outstanding_tokens : int
-        The tokens of all running and waiting requests.
+        Tokens of all running and waiting requests.
     work_done_s : mapping of str to float
         Recent engine time of each organisation, in seconds.
     least_served_s : float
-        The least of it, divided by the weight, among the organisations that wait.
+        Minimum of `work_done_s` divided by the weight, over the organisations with waiting
+        requests.
     """
 
     memory_tokens: int
@@ -54,20 +54,20 @@
 
 
 class Policy:
-    """Decides the order of requests. Subclasses override what they do differently.
+    """Decides the order of requests. Subclasses override what differs.
 
-    A policy keeps no state between calls, so that it can be swapped while requests run and
-    so that all boxes agree on what it does.
+    A policy keeps no state between calls, so it can be changed while requests run, and all boxes
+    reach the same decisions.
     """
 
     name: ClassVar[str]
-    """The name in the table of weights and limits."""
+    """The policy's name in the table of weights and limits."""
 
     fairness_window_s: ClassVar[float] = 60.0
-    """The time over which the work of organisations is added up, in seconds."""
+    """Window over which the engine time of organisations is summed, in seconds."""
 
     segments: ClassVar[SegmentRule] = SegmentRule()
-    """How long prompts are cut into segments."""
+    """Sizes of the segments of prompts that exceed one engine."""
 
     def candidates(self, job: Job, targets: Sequence[TargetView], count: int) -> list[str]:
         """Return the targets whose owners are asked for a quote, best first.
@@ -77,30 +77,30 @@
         job : Job
             The request, or one segment of it.
         targets : sequence of TargetView
-            Every target that could serve it.
+            All targets that could serve it.
         count : int
-            How many targets it needs; fewer in return mean that there is no way.
+            Number of targets needed; the request cannot be placed if fewer are returned.
         """
         raise NotImplementedError
 
     def cost(self, job: Job, expected: Expected, state: QueueState, now_s: float) -> float:
-        """Return what is compared between the quotes of the candidates; the lowest wins."""
+        """Return the cost by which the quotes of candidates are compared; the lowest wins."""
         return expected.first_token_s
 
     def queue_key(self, job: Job, state: QueueState, now_s: float) -> float:
-        """Return the request's place in a queue, in seconds; the lowest goes first."""
+        """Return the sort key of a request in the queue, in seconds; the lowest goes first."""
         return job.arrival_s
 
     def may_start(self, job: Job, state: QueueState, now_s: float) -> bool:
-        """Return whether a request that fits into memory may start now."""
+        """Return whether a request whose memory is available may start now."""
         return True
 
     def blocks(self, job: Job, state: QueueState, now_s: float) -> bool:
-        """Return whether a request that cannot start now holds back those behind it."""
+        """Return whether a request that cannot start now blocks those behind it."""
         return True
 
     def priority(self, job: Job, state: QueueState, now_s: float) -> int:
-        """Return the priority for the engine; lower goes first."""
+        """Return the priority on the engine; lower goes first."""
         return 0
 
 
@@ -109,24 +109,24 @@
 
 
 def register(policy_type: P) -> P:
-    """Make a policy known under its name; used as a class decorator."""
+    """Register a policy class under its name; used as a class decorator."""
     _policies[policy_type.name] = policy_type()
     return policy_type
 
 
 def policy(name: str) -> Policy:
-    """Return the policy of this name.
+    """Return the policy with this name.
 
     Raises
     ------
     UnknownPolicyError
-        If there is none; the message lists those that exist.
+        If there is none; the message lists the registered ones.
     """
     try:
         return _policies[name]
     except KeyError:
         known = ", ".join(policy_names())
-        raise UnknownPolicyError(f"there is no policy {name!r}; there are {known}") from None
+        raise UnknownPolicyError(f"unknown policy {name!r}; known policies: {known}") from None
 
 
 def policy_names() -> list[str]:
--- a/gladedrum/scheduling/policies/fair_slack.py
+++ b/gladedrum/scheduling/policies/fair_slack.py
@@ -1,10 +1,10 @@
-"""The product's own policy: fair shares by work, order by slack, memory and room for the short.
+"""The main policy: order by slack, fair shares of engine time, free memory for short prompts.
 
-Each request has a time by which its first token should come, which grows with the length of
-its prompt. Requests go in the order of the latest moment at which they can start and still
-make it. This moment does not move while a request waits, so newcomers cannot hold back a
-dossier for good, and a clause question passes a dossier that has time. An organisation that
-has had more than its share of the engine's recent time goes later by the excess.
+Each request has a target time for its first token, which grows with the length of its prompt.
+Requests are ordered by the latest time at which they can start and still meet it. This time does
+not change while a request waits, so new requests cannot delay a long one indefinitely, while a
+short request passes a long one that has slack. A request of an organisation that has used more than
+its fair share of recent engine time is ordered later by the excess.
 """
 
 from collections.abc import Sequence
@@ -18,36 +18,47 @@
 __all__ = ["FairSlack", "first_token_target_s"]
 
 _CHOICES = 2
+"""Number of targets that a short prompt asks for quotes, beside the one with its prefix."""
 _LONG_CHOICES = 12
+"""Number of targets that a long prompt asks for quotes."""
 _LONG_SHARE = 0.8
+"""Share of the targets that long prompts ask first."""
 _POOL_KEY = "long prompts"
 _LONG_MEMORY_SHARE = 0.85
+"""Share of an engine's memory that long prompts may hold."""
 _SEGMENT_SHARE = 0.15
+"""Preferred share of an engine's memory for a segment."""
 _BASE_TARGET_S = 0.64
+"""Target time for the first token of an empty prompt, in seconds."""
 _TARGET_STRETCH = 20.0
+"""Target time per second of reference prefill time."""
 _TARGET_TOKENS_PER_S = 10_000.0
-_COMPANY_STEPS = 1.0
+"""Prefill speed of the reference engine."""
+_LONG_PREFILL_STEPS = 1.0
+"""Steps of a long prefill that delay a short prompt beside it."""
 _PRIORITIES_PER_S = 100
+"""Resolution of engine priorities, per second of the queue key."""
 _NEAR_DEADLINE_SHARE = 0.5
+"""Share of its time that a request may wait before it blocks those behind it."""
 
 
 def first_token_target_s(prompt_tokens: int) -> float:
-    """Return the time within which the first token of a prompt should come, in seconds."""
+    """Return the target time for the first token of a prompt, in seconds."""
     return _BASE_TARGET_S + _TARGET_STRETCH * prompt_tokens / _TARGET_TOKENS_PER_S
 
 
 @register
 class FairSlack(Policy):
-    """Order by slack, shares by work, and targets chosen by expected first token."""
+    """Orders by slack and fair shares; chooses targets by the expected first token."""
 
     name = "fair_slack"
     segments = SegmentRule(_SEGMENT_SHARE, _LONG_MEMORY_SHARE)
 
     def candidates(self, job: Job, targets: Sequence[TargetView], count: int) -> list[str]:
-        """Return the target that may hold the prompt's prefix and a few others.
+        """Return the target that probably caches the prompt's prefix, and a few others.
 
-        Long prompts ask the same part of the targets first, so that the others stay free of
-        them; short prompts may go anywhere.
+        Long prompts prefer a fixed subset of the targets, so that the others stay free for short
+        ones.
         """
         fitting = [t.name for t in targets if t.memory_tokens >= job.memory_tokens]
         if job.is_long:
@@ -62,44 +73,44 @@
         return list(dict.fromkeys(order))
 
     def cost(self, job: Job, expected: Expected, state: QueueState, now_s: float) -> float:
-        """Return the expected first token, charged with the slowdown of others.
+        """Return the expected time to the first token plus the slowdown of others.
 
-        A short prompt beside a long one also waits for the long one's share of each engine
-        step, which the expectation does not hold.
+        A short prompt beside a long one also waits for the long prompt's part of an engine step,
+        which the expected time does not include.
         """
-        brought_s = expected.prefill_s * expected.prefill_s * expected.passed_per_s
-        company_s = 0.0 if job.is_long else _COMPANY_STEPS * state.long_step_s
-        return expected.first_token_s + brought_s + company_s
+        slowdown_s = expected.prefill_s * expected.prefill_s * expected.overtaken_per_s
+        long_prefill_s = 0.0 if job.is_long else _LONG_PREFILL_STEPS * state.long_step_s
+        return expected.first_token_s + slowdown_s + long_prefill_s
 
     def queue_key(self, job: Job, state: QueueState, now_s: float) -> float:
-        """Return the latest good start, later by what the organisation had beyond its share."""
+        """Return the latest start that is on time, plus the organisation's excess."""
         return _latest_start_s(job) + _excess_s(job, state)
 
     def may_start(self, job: Job, state: QueueState, now_s: float) -> bool:
-        """Return True unless a long prompt would take what others need.
+        """Return False for a long prompt that would take memory or time needed by others.
 
-        Long prompts leave a part of the memory to the short ones. A long prompt may pass a
-        longer one, but does not start behind one that is shorter, so that a target prefills
-        only a few at once.
+        Part of the memory is kept free for short prompts. A long prompt may overtake longer ones
+        but does not start beside a shorter one that is still in prefill, which limits the number of
+        concurrent long prefills.
         """
         if not job.is_long:
             return True
-        room = int(state.memory_tokens * _LONG_MEMORY_SHARE) - state.long_tokens
-        return job.memory_tokens <= room and all(
+        free_tokens = int(state.memory_tokens * _LONG_MEMORY_SHARE) - state.long_tokens
+        return job.memory_tokens <= free_tokens and all(
             length > job.length_tokens for length in state.long_prefills
         )
 
     def blocks(self, job: Job, state: QueueState, now_s: float) -> bool:
-        """Return True once a request has used up half of its time waiting.
+        """Return True once a request has waited for half of the time until its deadline.
 
-        Until then others may pass it; from then on memory is kept back for it, so that it
-        does not starve behind requests that fit into every gap.
+        Until then others may overtake it. Afterwards memory is kept for it, so that smaller
+        requests cannot starve it.
         """
         waited = now_s - job.arrival_s
         return waited > _NEAR_DEADLINE_SHARE * (job.deadline_s - job.arrival_s)
 
     def priority(self, job: Job, state: QueueState, now_s: float) -> int:
-        """Return the place in the queue, in hundredths of a second."""
+        """Return the queue key in hundredths of a second."""
         return int(self.queue_key(job, state, now_s) * _PRIORITIES_PER_S)
 
 
@@ -110,6 +121,6 @@
 
 
 def _excess_s(job: Job, state: QueueState) -> float:
-    """Return by how much the organisation is ahead of the one that waits with the least."""
+    """Return how far the organisation is ahead of the least served waiting one, in seconds."""
     own_s = state.work_done_s.get(job.organisation, 0.0) / job.weight
     return max(0.0, own_s - state.least_served_s)
--- a/gladedrum/scheduling/policies/fifo.py
+++ b/gladedrum/scheduling/policies/fifo.py
@@ -1,4 +1,4 @@
-"""First come, first served: a baseline."""
+"""First come, first served, as a baseline."""
 
 from collections.abc import Sequence
 
@@ -12,11 +12,11 @@
 
 @register
 class Fifo(Policy):
-    """Sends each request to a target chosen by hashing and serves in order of arrival."""
+    """Sends each request to a target selected by hashing; queues in order of arrival."""
 
     name = "fifo"
 
     def candidates(self, job: Job, targets: Sequence[TargetView], count: int) -> list[str]:
-        """Return as many targets as are needed, the same for the same request."""
+        """Return only as many targets as are needed, always the same for a request."""
         names = [t.name for t in targets if t.memory_tokens >= job.memory_tokens]
         return rendezvous_order(job.job_id, names)[:count]
--- a/gladedrum/scheduling/policies/least_loaded.py
+++ b/gladedrum/scheduling/policies/least_loaded.py
@@ -1,4 +1,4 @@
-"""The least loaded of a few targets: a baseline."""
+"""Least loaded of a few targets, as a baseline."""
 
 from collections.abc import Sequence
 
@@ -25,7 +25,7 @@
     name = "least_loaded"
 
     def candidates(self, job: Job, targets: Sequence[TargetView], count: int) -> list[str]:
-        """Return a few targets that are large enough."""
+        """Return a few targets with enough memory."""
         names = [t.name for t in targets if t.memory_tokens >= job.memory_tokens]
         return rendezvous_order(job.job_id, names)[: _CHOICES + count - 1]
 
--- a/gladedrum/scheduling/policies/length_pools.py
+++ b/gladedrum/scheduling/policies/length_pools.py
@@ -1,4 +1,4 @@
-"""Separate targets for long and for short prompts: the usual way out, as a baseline."""
+"""Separate pools of targets for long and short prompts, as a baseline."""
 
 from collections.abc import Sequence
 
@@ -16,12 +16,7 @@
 
 @register
 class LengthPools(LeastLoaded):
-    """As `LeastLoaded`, but long prompts go to one half of the targets and the rest to the other.
-
-    Notes
-    -----
-    The half is where the default workload puts about as much work on either side.
-    """
+    """Like `LeastLoaded`, but in separate halves of the targets for long and short prompts."""
 
     name = "length_pools"
 
--- a/gladedrum/scheduling/policies/rendezvous.py
+++ b/gladedrum/scheduling/policies/rendezvous.py
@@ -13,10 +13,10 @@
 
 
 def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
-    """Return `names` in the order in which `key` prefers them.
+    """Return `names` in the order of preference for `key`.
 
-    When a name goes away, the order of the others stays, so only the keys that preferred it
-    move.
+    If a name is removed, the order of the others does not change, so only keys that preferred it
+    are reassigned.
 
     Examples
     --------
@@ -29,5 +29,5 @@
 
 
 def rendezvous_score(key: str, name: str) -> bytes:
-    """Return how much `key` prefers `name`; the highest is the first in `rendezvous_order`."""
+    """Return the score of `name` for `key`; the highest comes first in `rendezvous_order`."""
     return hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
--- a/gladedrum/scheduling/questions.py
+++ b/gladedrum/scheduling/questions.py
@@ -1,9 +1,9 @@
-"""Questions between a box that needs a placement and the boxes that decide: who waits, how long.
+"""Questions of boxes to deciders: the order in which they are answered, and how long to wait.
 
-Two halves of one protection against a metastable failure. A decider that falls behind must not work
-on questions whose askers have gone elsewhere, and an asker must not take a slow decider for a dead
-one: else a short flash crowd leaves all deciders busy with work that nobody takes, and their load
-stays high after the crowd has gone.
+A box that needs a placement (the asker) sends a question to a decider, a box of the coordinator
+group. This module protects deciders from a metastable failure, in which a short flash crowd leaves
+them busy with expired questions long after it has ended. Deciders skip questions whose askers no
+longer wait, and askers wait longer for a slow decider instead of treating it as dead.
 
 Examples
 --------
@@ -11,37 +11,37 @@
 >>> questions.put("old", 0.0)
 >>> questions.put("new", 0.03)
 >>> questions.take(0.05)
-Next(item='new', in_time=True)
+NextQuestion(item='new', in_time=True)
 >>> questions.take(0.05)
-Next(item='old', in_time=False)
+NextQuestion(item='old', in_time=False)
 """
 
 from collections import deque
 from typing import Any, Generic, NamedTuple, TypeVar
 
-__all__ = ["AnswerTimes", "Next", "WaitingQuestions"]
+__all__ = ["AnswerTimes", "NextQuestion", "WaitingQuestions"]
 
 _T = TypeVar("_T")
 
-LEAST_WAIT_S = 0.04
-"""The least time that an asker waits, in seconds: some ways between data halls and a decision."""
+MIN_WAIT_S = 0.04
+"""Least time that an asker waits, in seconds: a few round trips between data halls and a
+decision."""
 
-MOST_WAIT_S = 0.12
-"""The most, in seconds: a quarter of the shortest objective that callers have."""
+MAX_WAIT_S = 0.12
+"""Maximum time that an asker waits, in seconds: a fraction of the shortest objective."""
 
-WAIT_FACTOR = 3.0
-"""An asker waits for so many times the mean time in which a decider has answered."""
+WAIT_PER_MEAN = 3.0
+"""Time that an asker waits, as a multiple of the decider's mean answer time."""
 
 NEWEST_WEIGHT = 0.3
-"""Weight of the newest answer in that mean: it follows a decider that falls behind within three
-answers."""
+"""Weight of the newest answer in that mean, an exponential moving average."""
 
 
-MOST_KNOWN = 64
-"""Deciders whose times are kept: many starts of the few that decide at a time."""
+MAX_DECIDERS = 64
+"""Number of deciders whose mean is kept: the few current ones through many restarts."""
 
 
-class Next(NamedTuple):
+class NextQuestion(NamedTuple):
     """A question to be answered, and whether its asker still waits."""
 
     item: Any
@@ -49,15 +49,15 @@
 
 
 class WaitingQuestions(Generic[_T]):
-    """Questions that wait for a decision, the newest first.
+    """Questions that wait for a decision, newest first.
 
-    While a decider keeps up, the order makes no difference. When it does not, the newest one is the
-    one that can still be answered in time; in order of arrival all would be answered too late.
+    The order only matters if a decider falls behind. The newest question can then still be answered
+    in time, while in order of arrival every answer would be late.
 
     Parameters
     ----------
     patience_s : float
-        How long after its arrival a question is worth an answer, in seconds.
+        How long after its arrival a question is worth answering, in seconds.
     """
 
     def __init__(self, patience_s: float):
@@ -71,26 +71,26 @@
         """Add a question that has just arrived."""
         self._waiting.append((item, now_s))
 
-    def take(self, now_s: float) -> Next:
-        """Return the newest question; raises `IndexError` if none waits."""
+    def take(self, now_s: float) -> NextQuestion:
+        """Remove and return the newest question; raises `IndexError` if there is none."""
         item, arrived_s = self._waiting.pop()
-        return Next(item, now_s - arrived_s <= self._patience_s)
+        return NextQuestion(item, now_s - arrived_s <= self._patience_s)
 
 
 class AnswerTimes:
-    """How long each decider takes to answer, as one asker has seen it."""
+    """Mean answer times of deciders, as seen by one asker."""
 
     def __init__(self) -> None:
         self._mean_s: dict[str, float] = {}
 
     def note(self, decider: str, took_s: float) -> None:
-        """Note an answer, also one that came after the wait for it."""
-        if decider not in self._mean_s and len(self._mean_s) >= MOST_KNOWN:
+        """Record an answer, including one that arrived after its asker stopped waiting."""
+        if decider not in self._mean_s and len(self._mean_s) >= MAX_DECIDERS:
             del self._mean_s[next(iter(self._mean_s))]
         before_s = self._mean_s.get(decider, took_s)
         self._mean_s[decider] = before_s + NEWEST_WEIGHT * (took_s - before_s)
 
     def wait_s(self, decider: str) -> float:
         """Return how long to wait for a decider, in seconds."""
-        expected_s = WAIT_FACTOR * self._mean_s.get(decider, 0.0)
-        return min(MOST_WAIT_S, max(LEAST_WAIT_S, expected_s))
+        expected_s = WAIT_PER_MEAN * self._mean_s.get(decider, 0.0)
+        return min(MAX_WAIT_S, max(MIN_WAIT_S, expected_s))
--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -1,9 +1,9 @@
-"""The queue and the reservations of one target, as its owner keeps them.
+"""Queue and reservations of one target, kept by the target's owner.
 
-Memory is reserved for a request's whole life before it starts and never beyond the engine's
-size. The queue estimates the engine's backlog from what was granted, what has been reported
-since, and the time that has passed; the estimate is corrected by how long first tokens
-really took.
+A request starts only once the memory for its whole life is reserved. The sum of granted
+reservations never exceeds the engine's memory. The queue estimates the engine's backlog from what
+it has granted, from the first tokens reported since and from the time that has passed. It corrects
+its estimate of the engine's speed by the measured times to the first token.
 """
 
 import itertools
@@ -22,29 +22,29 @@
 _SPEED_SMOOTHING = 0.02
 _TOKEN_SMOOTHING = 0.1
 _BUSY_STEP_FACTOR = 2.5
-_REMEMBERED_PREFIXES = 2_048
-# A shorter prefill mostly measures the engine's step and the messages.
-_LEAST_LEARNED_S = 0.2
-_NOISE_FACTOR = 1.25
-_MOST_PASSING_SHARE = 0.9
-_NO_WORK_S = 1e-9
-_MIN_FACTOR, _MAX_FACTOR = 0.5, 20.0
+_MAX_PREFIXES = 2_048
+# Shorter samples are dominated by the step time and by message delays.
+_MIN_SAMPLE_S = 0.2
+_SPEED_NOISE_FACTOR = 1.25
+_MAX_OVERTAKING_SHARE = 0.9
+_WORK_EPSILON_S = 1e-9
+_MIN_SPEED_FACTOR, _MAX_SPEED_FACTOR = 0.5, 20.0
 
 
 @dataclass(frozen=True, slots=True)
 class QueueLimits:
-    """Bounds of a target's queue.
+    """Limits of a target's queue.
 
     Parameters
     ----------
     max_queued : int
-        The most requests that wait.
+        Maximum number of waiting requests.
     max_running : int
-        The most requests that hold a reservation.
+        Maximum number of requests that hold a reservation.
     renewal_s : float
-        A reservation that its entry box does not renew for so long is dropped, in seconds.
+        A reservation expires if its entry box does not renew it within this time, in seconds.
     margin : float
-        By how much expected times are stretched before they are held against a deadline.
+        Safety factor on the expected duration when it is compared with a deadline.
     """
 
     max_queued: int = 256
@@ -62,23 +62,23 @@
     job : Job
         The request.
     policy : Policy
-        The policy that it came under.
+        The policy in force when it was accepted.
     priority : int
-        What the engine was told.
+        Its priority on the engine; lower goes first.
     granted_s : float
-        When it was granted.
+        Time of the grant.
     prefill_s : float
-        The expected duration of its prefill alone.
+        Expected duration of its prefill without others, in seconds.
     remaining_s : float
-        The part of it that is expected to be still ahead.
+        Expected remainder of `prefill_s`, in seconds.
     renewed_s : float
-        When its entry box last spoke of it.
+        Time of the last renewal by its entry box.
     first_token_s : float or None
-        When its first token came.
+        Time of its first token, None before.
     none_ahead : bool
-        True if no prefill with a higher priority was under way when it was granted.
+        True if no prefill with the same or a higher priority was running at the time of the grant.
     completed_s : float
-        The queue's `completed_prefill_s` when it was granted.
+        The queue's `completed_prefill_s` at the time of the grant.
     """
 
     job: Job
@@ -101,7 +101,7 @@
 
 
 class _Work(NamedTuple):
-    """Engine time that was granted."""
+    """Engine time granted to a request, for the accounting of shares."""
 
     at_s: float
     organisation: str
@@ -118,7 +118,20 @@
     traits : EngineTraits
         The engine's size and speed.
     limits : QueueLimits
-        Bounds.
+        Limits of the queue.
+
+    Attributes
+    ----------
+    running, waiting : dict
+        Reservations and waiting requests, by job id.
+    speed_factor : float
+        Estimated factor by which prefills take longer than `traits` say.
+    completed_prefill_s : float
+        Sum of the expected durations of all completed prefills, in seconds.
+    token_s : float
+        Estimated time per output token, in seconds.
+    work_done_s : dict of str to float
+        Recent engine time of each organisation, in seconds.
     """
 
     traits: EngineTraits
@@ -139,22 +152,22 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """The memory that reservations hold, in tokens."""
+        """Memory held by reservations, in tokens."""
         return sum(r.job.memory_tokens for r in self.running.values())
 
     @property
     def free_tokens(self) -> int:
-        """The memory that can still be reserved, in tokens."""
+        """Memory that can still be reserved, in tokens; negative after a takeover."""
         return self.traits.memory_tokens - self.reserved_tokens - self._withheld_tokens
 
     def withhold(self, tokens: int) -> None:
-        """Keep so much memory out of use, because the engine's own report lacks it."""
+        """Exclude memory that is in use by the engine's report but not reserved here."""
         self._withheld_tokens = max(0, min(tokens, self.traits.memory_tokens))
 
-    # Taking requests in.
+    # Admission.
 
     def offer(self, job: Job, policy: Policy, now_s: float) -> Offered:
-        """Put a request into the queue or refuse it; grants come from `pump`."""
+        """Queue a request or refuse it; `pump` grants queued requests."""
         quote = self.quote(job, policy, now_s)
         if quote.refused is not None:
             return quote.refused
@@ -162,7 +175,7 @@
         return Queued(job)
 
     def quote(self, job: Job, policy: Policy, now_s: float) -> Quote:
-        """Return what is expected of a request if it came now; nothing is changed."""
+        """Return the expected times and cost of a request without queueing it."""
         self.advance(now_s)
         if job.memory_tokens > self.traits.memory_tokens:
             message = f"{job.memory_tokens} tokens do not fit into {self.traits.memory_tokens}"
@@ -174,7 +187,7 @@
         return Quote(expected.first_token_s, cost, refused)
 
     def pump(self, now_s: float) -> list[Grant]:
-        """Grant what may start now and return the grants, in order."""
+        """Grant all requests that may start now; return the grants in order."""
         self.advance(now_s)
         grants = []
         state = self._state(now_s)
@@ -191,7 +204,7 @@
         return grants
 
     def drop_late(self, now_s: float) -> list[Job]:
-        """Take out and return the waiting requests that can no longer make their time."""
+        """Remove and return the waiting requests that can no longer meet their deadline."""
         late = [
             w.job
             for w in self.waiting.values()
@@ -201,10 +214,10 @@
             del self.waiting[job.job_id]
         return late
 
-    # What entry boxes report.
+    # Reports of entry boxes.
 
     def first_token(self, job_id: str, now_s: float) -> None:
-        """Note that a request's first token has come."""
+        """Record the first token of a request."""
         self.advance(now_s)
         reservation = self.running.get(job_id)
         if reservation is None or reservation.first_token_s is not None:
@@ -215,11 +228,11 @@
         for digest in reservation.job.prefix:
             self._prefixes[digest] = None
             self._prefixes.move_to_end(digest)
-        while len(self._prefixes) > _REMEMBERED_PREFIXES:
+        while len(self._prefixes) > _MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
     def release(self, job_id: str, now_s: float) -> bool:
-        """Give back what a request holds or its place in the queue; False if it has neither."""
+        """Release a reservation or remove a waiting request; False if there is neither."""
         self.advance(now_s)
         if self.waiting.pop(job_id, None) is not None:
             return True
@@ -232,10 +245,10 @@
         return True
 
     def adopt(self, job: Job, policy: Policy, now_s: float) -> None:
-        """Renew a running request's reservation, or take it over from an earlier owner.
+        """Renew a running request's reservation, or take it over from a previous owner.
 
-        What already runs is never refused, so memory can be reserved beyond the engine's size
-        for a while after a change of owner; nothing new is granted until it is below again.
+        A running request is never refused, so after a change of owner the reservations may exceed
+        the engine's memory. No new request is granted until they fit again.
         """
         self.advance(now_s)
         reservation = self.running.get(job.job_id)
@@ -255,12 +268,12 @@
         )
 
     def renew(self, job_id: str, now_s: float) -> None:
-        """Renew a reservation, if there is one of this name."""
+        """Renew a reservation if it exists."""
         if job_id in self.running:
             self.running[job_id].renewed_s = now_s
 
     def expire(self, now_s: float) -> list[Job]:
-        """Drop and return the reservations that nobody has renewed in time."""
+        """Remove and return the reservations that were not renewed in time."""
         lost = [r.job for r in self.running.values() if now_s - r.renewed_s > self.limits.renewal_s]
         for job in lost:
             del self.running[job.job_id]
@@ -269,7 +282,7 @@
     # Estimates.
 
     def advance(self, now_s: float) -> None:
-        """Let the time since the last call pass over the expected remaining prefills."""
+        """Update the remaining prefill times for the time since the last call."""
         passed_s = (now_s - self._advanced_s) / self.speed_factor
         self._advanced_s = now_s
         for reservation in self._prefilling():
@@ -280,18 +293,19 @@
             passed_s -= used_s
 
     def cached_tokens(self, job: Job) -> int:
-        """Return how much of the prompt is expected in the engine's prefix cache, in tokens."""
+        """Return how many prompt tokens the engine's prefix cache probably holds."""
         hits = sum(1 for _ in itertools.takewhile(self._prefixes.__contains__, job.prefix))
         length = PREFIX_STEP_TOKENS * PREFIX_GROWTH ** (hits - 1) if hits else 0
         return min(job.prompt_tokens - 1, length)
 
     @property
-    def _trusted_factor(self) -> float:
-        """The speed factor, or 1 where it may be noise.
+    def _effective_speed_factor(self) -> float:
+        """The speed factor, or 1 if the difference may be noise.
 
-        Small differences between engines would make every box prefer the same one.
+        Without this threshold, small random differences would make all boxes prefer the same
+        engine.
         """
-        is_noise = 1 / _NOISE_FACTOR < self.speed_factor < _NOISE_FACTOR
+        is_noise = 1 / _SPEED_NOISE_FACTOR < self.speed_factor < _SPEED_NOISE_FACTOR
         return 1.0 if is_noise else self.speed_factor
 
     def _prefilling(self) -> list[Reservation]:
@@ -309,23 +323,23 @@
         priority = policy.priority(job, state, now_s)
         key = policy.queue_key(job, state, now_s)
         own_s = self._prefill_s(job)
-        ahead_s = passed_per_s = 0.0
+        ahead_s = overtaken_per_s = 0.0
         for reservation in self._prefilling():
             if reservation.priority <= priority:
                 ahead_s += reservation.remaining_s
             else:
-                passed_per_s += 1 / reservation.prefill_s
+                overtaken_per_s += 1 / reservation.prefill_s
         for waiting in self.waiting.values():
             if waiting.policy.queue_key(waiting.job, state, now_s) <= key:
                 ahead_s += waiting.prefill_s
             else:
-                passed_per_s += 1 / waiting.prefill_s
-        work_s = (ahead_s + own_s) * self._trusted_factor
+                overtaken_per_s += 1 / waiting.prefill_s
+        work_s = (ahead_s + own_s) * self._effective_speed_factor
         if job.is_long:
-            # Shorter prompts that are yet to come will pass it.
-            work_s /= 1 - self._passing_share(job, now_s)
+            # Shorter prompts that arrive later will overtake it.
+            work_s /= 1 - self._overtaking_share(job, now_s)
         first_token_s = max(work_s, self._memory_wait_s(job, now_s)) + self.traits.decode_step_s
-        return Expected(first_token_s, own_s, passed_per_s)
+        return Expected(first_token_s, own_s, overtaken_per_s)
 
     def _memory_wait_s(self, job: Job, now_s: float) -> float:
         queued = sum(w.job.memory_tokens for w in self.waiting.values())
@@ -346,18 +360,20 @@
         return now_s + reservation.remaining_s * self.speed_factor + self._decode_s(job)
 
     def _learn_speed(self, reservation: Reservation, now_s: float) -> None:
-        """Compare the time since a grant with the prefills that were done in it.
+        """Update the speed factor from the time between a request's grant and its first token.
 
-        If nothing was ahead of the request, the engine has done its prefill since and those
-        that passed it, and nothing else.
+        If no prefill was ahead of the request, the engine has since done just its prefill and those
+        that overtook it, so the time can be compared with their expected durations.
         """
         done_s = self.completed_prefill_s - reservation.completed_s + reservation.prefill_s
         self.completed_prefill_s += reservation.prefill_s
-        if not reservation.none_ahead or done_s < _LEAST_LEARNED_S:
+        if not reservation.none_ahead or done_s < _MIN_SAMPLE_S:
             return
         factor = (now_s - reservation.granted_s) / done_s
         change = _SPEED_SMOOTHING * (factor - self.speed_factor)
-        self.speed_factor = min(_MAX_FACTOR, max(_MIN_FACTOR, self.speed_factor + change))
+        self.speed_factor = min(
+            _MAX_SPEED_FACTOR, max(_MIN_SPEED_FACTOR, self.speed_factor + change)
+        )
 
     # Decisions.
 
@@ -373,21 +389,21 @@
         return None
 
     def _later_segments_s(self, job: Job, now_s: float) -> float:
-        """Return the time for the rest of a long prompt, if this is its first segment."""
+        """Return the expected time for the later segments; 0 unless this is the first."""
         if not job.whole_tokens or job.start_tokens:
             return 0.0
         rest_s = self.traits.prefill_s(job.whole_tokens, job.prompt_tokens)
-        return rest_s * self._trusted_factor / (1 - self._passing_share(job, now_s))
+        return rest_s * self._effective_speed_factor / (1 - self._overtaking_share(job, now_s))
 
-    def _passing_share(self, job: Job, now_s: float) -> float:
-        """Return the share of the engine's recent time that went to shorter prompts."""
+    def _overtaking_share(self, job: Job, now_s: float) -> float:
+        """Return the share of recent engine time that went to shorter prompts."""
         since_s = now_s - Policy.fairness_window_s
         shorter_s = sum(
             work.seconds
             for work in self._recent
             if work.length_tokens < job.length_tokens and work.at_s > since_s
         )
-        return min(_MOST_PASSING_SHARE, shorter_s / Policy.fairness_window_s)
+        return min(_MAX_OVERTAKING_SHARE, shorter_s / Policy.fairness_window_s)
 
     def _in_order(self, now_s: float) -> list[_Waiting]:
         state = self._state(now_s)
@@ -412,17 +428,17 @@
             none_ahead=none_ahead,
             completed_s=self.completed_prefill_s,
         )
-        self._note_work(job, waiting.prefill_s, now_s)
+        self._record_work(job, waiting.prefill_s, now_s)
         return Grant(job, priority)
 
-    def _note_work(self, job: Job, prefill_s: float, now_s: float) -> None:
+    def _record_work(self, job: Job, prefill_s: float, now_s: float) -> None:
         work_s = prefill_s + self._decode_s(job) / self.limits.max_running
         self._recent.append(_Work(now_s, job.organisation, work_s, job.length_tokens))
         self.work_done_s[job.organisation] = self.work_done_s.get(job.organisation, 0) + work_s
         while self._recent and self._recent[0].at_s < now_s - Policy.fairness_window_s:
             old = self._recent.popleft()
             left_s = self.work_done_s[old.organisation] - old.seconds
-            if left_s > _NO_WORK_S:
+            if left_s > _WORK_EPSILON_S:
                 self.work_done_s[old.organisation] = left_s
             else:
                 del self.work_done_s[old.organisation]
@@ -447,7 +463,7 @@
         return min(served, default=math.inf)
 
     def _long_step_s(self) -> float:
-        """Return the duration of a prefill step at the expected position of a long prompt."""
+        """Return the longest expected duration of a prefill step among the running long prompts."""
         traits = self.traits
         chunk = traits.chunk_tokens
         steps = (
@@ -460,7 +476,7 @@
         return max(steps, default=0.0)
 
     def _long_prefilling(self) -> list[Reservation]:
-        # A later segment of a long prompt waits for the earlier ones, for most of its time.
+        # A later segment mostly waits for the earlier ones and does not prefill.
         return [
             r
             for r in self.running.values()
--- a/gladedrum/scheduling/rates.py
+++ b/gladedrum/scheduling/rates.py
@@ -1,7 +1,8 @@
-"""The rates that targets name: what each takes from all boxes together, and who adds that up.
+"""Rates named by targets, and the token buckets that enforce them.
 
-A target in need says in its answers how many requests a second it takes, and means all boxes. What
-it says holds until an answer says otherwise; what was said can arrive in another order.
+A target under pressure names in its answers how many requests a second it accepts from all boxes
+together. The rate holds until a later answer names another or none; answers may arrive out of
+order. One box grants the places of a target for all boxes.
 """
 
 from collections.abc import Container
@@ -19,11 +20,11 @@
     per_s : float
         Requests a second from all boxes together.
     since_s : float
-        When the target was first heard to name a rate, by the monotonic clock.
+        When the target was first known to name a rate, by the monotonic clock.
     heard_s : float
-        When an answer that names this one was last heard.
+        Arrival of the latest answer that named this rate.
     told_by : str
-        The peer that has told of it; empty if this box was answered itself.
+        The peer that reported it; empty if this box received the answer itself.
     """
 
     per_s: float
@@ -35,22 +36,22 @@
 def settle_rate(
     known: NamedRate | None, per_s: float | None, asked_s: float, heard_s: float, told_by: str = ""
 ) -> NamedRate | None:
-    """Return the rate that holds once an answer has named one, or none.
+    """Return the rate that holds after an answer named one, or none.
 
-    Answers on several connections pass each other. What allows more holds only if it answers a
-    request that was sent after the last answer that allows less had come; what allows less holds
-    at once.
+    Answers on several connections can overtake each other. A lower rate holds at once. A higher
+    rate, or none, holds only if the answered request was sent after the latest answer with a lower
+    rate had arrived.
 
     Parameters
     ----------
     known : NamedRate or None
-        The rate that was known.
+        The rate known before.
     per_s : float or None
-        What the answer names, None if it names no rate.
+        The rate that the answer names, None if it names none.
     asked_s, heard_s : float
-        When the request was sent that it answers, and when its head came, by the clock.
+        When the answered request was sent, and when the head of the answer arrived.
     told_by : str
-        The peer that was answered; empty if it was this box.
+        The peer that received the answer; empty if it was this box.
 
     Examples
     --------
@@ -69,27 +70,26 @@
 
 
 LONGEST_CLOSED_S = 8.0
-"""A target that takes nothing, or next to nothing, is asked again after so many seconds."""
+"""Longest interval between requests to a target, in seconds, however low its rate."""
 
 REPORT_SHARE = 0.25
-"""Share of a named rate that reports may use; the rest is for callers. At 1 a second the usual
-reports alone are two and a half times the rate."""
+"""Share of a named rate that the polling of reports may use; the rest is for callers."""
 
 BURST_S = 0.5
-"""What is not used of a rate is kept for so many seconds, and for one request at least: with four
-seconds' worth, a window of four would hold twice the rate."""
+"""Size of a bucket, as seconds of its rate (but at least one request). It is small so that a short
+window holds little more than the rate."""
 
-DEBT_S = 4.0
-"""What was sent beyond a rate, such as renewals of memory that is held there, is made good within
-so many seconds; an older debt would keep callers away for the sake of what is long over."""
+MAX_DEBT_S = 4.0
+"""Maximum debt from requests sent without a grant, such as renewals of memory reservations, as
+seconds of the rate. The bound keeps old debt from blocking callers."""
 
 SUBSTITUTE_SHARE = 0.25
-"""Share of a rate that a box grants in place of the one that adds it up, as long as that does not
-answer. Two substitutes beside one that others still reach make one and a half times the rate."""
+"""Share of a rate that a box grants while the box responsible for the target does not answer. It is
+small because several substitutes may grant at once, beside the responsible box."""
 
 
 def interval_s(per_s: float) -> float:
-    """Return the seconds between two requests at a rate; bounded, also for none.
+    """Return the seconds between two requests at a rate, at most `LONGEST_CLOSED_S`.
 
     Examples
     --------
@@ -100,7 +100,7 @@
 
 
 def report_pause_s(rate: NamedRate | None, usual_s: float) -> float:
-    """Return the pause between two reports of a target, by the rate that it names."""
+    """Return the seconds between two reports of a target under its named rate, if any."""
     if rate is None:
         return usual_s
     return max(usual_s, min(LONGEST_CLOSED_S, interval_s(rate.per_s) / REPORT_SHARE))
@@ -109,15 +109,16 @@
 @dataclass(slots=True)
 class _Bucket:
     born: int
-    left: float
+    tokens: float
     filled_s: float
 
 
 class RateBook:
-    """What may still be sent to each target that names a rate: a token bucket for each.
+    """Token buckets for the targets that name a rate, one for each target.
 
-    A bucket fills from when the rate was first heard of here, so that a box that starts does not
-    grant once more what was granted before.
+    A bucket starts empty when the rate becomes known here, so that a restarted box does not grant
+    again what was granted before. `born` identifies the start of the target's process; a later
+    start gets a new bucket.
 
     Examples
     --------
@@ -130,51 +131,51 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def begin(self, target: str, born: int, since_s: float) -> None:
-        """Have a target's bucket fill from a time, unless it does already."""
+        """Create a target's bucket, filling since `since_s`, unless it exists."""
         if target not in self._buckets:
             self._buckets[target] = _Bucket(born, 0.0, since_s)
 
     def take(self, target: str, born: int, per_s: float, now_s: float) -> float:
-        """Take one request's place; return 0 if it is granted, else the seconds until the next."""
+        """Consume a token for one request; return 0 if granted, else the seconds until the next."""
         bucket = self._fill(target, born, per_s, now_s)
-        if bucket.left >= 1:
-            bucket.left -= 1
+        if bucket.tokens >= 1:
+            bucket.tokens -= 1
             return 0.0
-        return _wait_s(bucket, per_s)
+        return _seconds_to_next(bucket, per_s)
 
     def next_s(self, target: str, born: int, per_s: float, now_s: float) -> float:
-        """Return the seconds until the next place is free, 0 if one is."""
+        """Return the seconds until the next token, 0 if there is one."""
         bucket = self._fill(target, born, per_s, now_s)
-        return 0.0 if bucket.left >= 1 else _wait_s(bucket, per_s)
+        return 0.0 if bucket.tokens >= 1 else _seconds_to_next(bucket, per_s)
 
     def spend(self, target: str, born: int, per_s: float, now_s: float) -> None:
-        """Count what was sent without a place."""
+        """Charge a request that was sent without a grant; the bucket may go into debt."""
         bucket = self._fill(target, born, per_s, now_s)
-        bucket.left = max(bucket.left - 1, -max(1.0, DEBT_S * per_s))
+        bucket.tokens = max(bucket.tokens - 1, -max(1.0, MAX_DEBT_S * per_s))
 
     def give_back(self, target: str, born: int, per_s: float, now_s: float) -> None:
-        """Put back a place that was taken here and not used."""
+        """Return the token of a granted request that was not sent."""
         bucket = self._fill(target, born, per_s, now_s)
-        bucket.left = min(bucket.left + 1, _most(per_s))
+        bucket.tokens = min(bucket.tokens + 1, _capacity(per_s))
 
     def keep(self, targets: Container[str]) -> None:
-        """Forget the targets that are gone."""
+        """Drop the buckets of all other targets."""
         self._buckets = {name: row for name, row in self._buckets.items() if name in targets}
 
     def _fill(self, target: str, born: int, per_s: float, now_s: float) -> _Bucket:
         bucket = self._buckets.get(target)
         if bucket is None or 0 < bucket.born < born:
             bucket = self._buckets[target] = _Bucket(born, 0.0, now_s)
-        # Not all boxes know yet which start of the target it is.
+        # A caller that does not know the start passes 0.
         bucket.born = max(bucket.born, born)
         gained = per_s * max(0.0, now_s - bucket.filled_s)
-        bucket.left, bucket.filled_s = min(_most(per_s), bucket.left + gained), now_s
+        bucket.tokens, bucket.filled_s = min(_capacity(per_s), bucket.tokens + gained), now_s
         return bucket
 
 
-def _most(per_s: float) -> float:
+def _capacity(per_s: float) -> float:
     return max(1.0, BURST_S * per_s)
 
 
-def _wait_s(bucket: _Bucket, per_s: float) -> float:
-    return min(LONGEST_CLOSED_S, (1 - bucket.left) / per_s) if per_s > 0 else LONGEST_CLOSED_S
+def _seconds_to_next(bucket: _Bucket, per_s: float) -> float:
+    return min(LONGEST_CLOSED_S, (1 - bucket.tokens) / per_s) if per_s > 0 else LONGEST_CLOSED_S
--- a/gladedrum/scheduling/segments.py
+++ b/gladedrum/scheduling/segments.py
@@ -1,9 +1,9 @@
-"""Prompts longer than one engine's memory: cut into segments, one engine each.
+"""Segments of prompts that exceed one engine's memory, one engine for each.
 
-The segments are prefilled one after another. Each stays where it was prefilled, and the engine
-of the next one reads it from there; the last engine writes the answer. The memory of all is
-reserved before the first starts, in the order of the targets' names, so that two such requests
-can never wait for each other.
+Segments are prefilled one after another. Each stays in the memory of its engine, from which the
+engine of the next segment reads it; the last engine writes the answer. The memory of all segments
+is reserved before the first one starts, in the order of the targets' names, so that two such
+requests cannot deadlock.
 """
 
 import math
@@ -21,20 +21,20 @@
 ]
 
 MAX_SEGMENTS = 16
-"""The most engines that one request may hold."""
+"""Maximum number of engines that one request may hold."""
 
 
 class Segment(NamedTuple):
-    """A part of a prompt that one engine holds.
+    """The part of a prompt that one engine holds.
 
     Parameters
     ----------
     start_tokens : int
-        The position of its first token in the whole prompt.
+        Position of its first token in the whole prompt.
     prompt_tokens : int
         Its length.
     output_tokens : int
-        The length of the answer in the last segment, 0 in the others.
+        Length of the answer for the last segment, 0 for the others.
     """
 
     start_tokens: int
@@ -43,14 +43,14 @@
 
 
 class SegmentRule(NamedTuple):
-    """How a policy wants long prompts cut.
+    """Sizes of segments under a policy.
 
     Parameters
     ----------
     preferred_share : float
-        The part of an engine's memory that a segment should take.
+        Preferred share of an engine's memory for a segment.
     largest_share : float
-        The part that it may take where there are too few engines.
+        Maximum share, used if there are too few engines.
     """
 
     preferred_share: float = 1.0
@@ -60,18 +60,18 @@
 def plan_segments(
     prompt_tokens: int, output_tokens: int, memory_tokens: int, engines: int, rule: SegmentRule
 ) -> list[Segment]:
-    """Cut a prompt into segments of about equal length.
+    """Split a prompt into segments of about equal length.
 
     Parameters
     ----------
     prompt_tokens, output_tokens : int
-        The request.
+        Length of the prompt and maximum length of the answer.
     memory_tokens : int
-        The memory of the smallest engine in question.
+        Memory of the smallest candidate engine.
     engines : int
-        How many engines there are.
+        Number of engines.
     rule : SegmentRule
-        How large a segment may be.
+        Sizes of segments.
 
     Returns
     -------
@@ -96,13 +96,13 @@
     lengths = [min(length, prompt_tokens - start) for start in starts]
     outputs = [0] * (len(starts) - 1) + [output_tokens]
     if lengths[-1] + output_tokens > largest:
-        # The answer alone is so long that it does not fit behind the last of the prompt.
+        # The answer does not fit behind the last segment of the prompt.
         return []
     return [Segment(*parts) for parts in zip(starts, lengths, outputs, strict=True)]
 
 
 def jobs_of(job: Job, memory_tokens: int, engines: int, rule: SegmentRule) -> list[Job]:
-    """Return the jobs by which a request reserves: itself, or one for each segment.
+    """Return the jobs that reserve memory for a request: itself, or one for each segment.
 
     Parameters are those of `plan_segments`. The list is empty if the request is too long.
     """
@@ -113,7 +113,7 @@
 
 
 def _segment_job(job: Job, number: int, segment: Segment) -> Job:
-    """Return the job by which the memory of a segment is reserved."""
+    """Return the job that reserves the memory of a segment."""
     return job._replace(
         job_id=f"{job.job_id}.s{number}",
         prompt_tokens=segment.prompt_tokens,
@@ -125,5 +125,5 @@
 
 
 def reservation_order(targets: list[str]) -> list[str]:
-    """Return the one order in which all boxes reserve on several targets."""
+    """Return the order in which every box reserves on several targets."""
     return sorted(targets)
--- a/gladedrum/scheduling/suspects.py
+++ b/gladedrum/scheduling/suspects.py
@@ -1,14 +1,16 @@
-"""Which requests may be the reason that targets end.
+"""Detection of requests that crash targets (queries of death).
 
-A request that ends each target that begins it (a query of death) comes again under a new id, at any
-box. Boxes note with which starts of targets a request was lost, and merge what they know: a loss
-only ever goes from open to ended to cleared, so notes may come in any order, late, and more than
-once. What a request's standing is follows from the losses alone, and so is the same on all boxes.
+A request that crashes every target that starts it returns under a new id, on any box. Boxes record
+which requests were in progress on each start of a target that was lost, and exchange these losses.
+The verdict on a loss only moves from open to ended to cleared, so losses can be merged in any
+order, late and repeatedly. A request's standing depends on the losses alone and is therefore the
+same on all boxes that have the same losses.
 
-A target takes all its requests along, so most of what is lost with it is innocent. Of these the one
-with the most losses explains an end; a request that has run to its end anywhere is cleared. Until
-then suspects are kept apart from each other, from the second loss on each runs by itself, one at a
-time in the fleet, and from the third on none runs before it is settled whether the targets ended.
+When a target ends, all its requests are lost, most of them innocent. An end is attributed to the
+request with the most losses; a request that completes anywhere is cleared. Until then, suspects are
+kept apart from each other. From the second loss on a suspect runs by itself, one at a time in the
+fleet. From the third on it waits until it is settled whether the targets ended, and is refused
+(condemned) if they did.
 
 Examples
 --------
@@ -27,43 +29,44 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-__all__ = ["ALIVE_AFTER_S", "ENDS_CONDEMN", "KEPT_S", "Condemned", "Loss", "Standing"]
+__all__ = ["ALIVE_AFTER_S", "ENDS_TO_CONDEMN", "KEPT_S", "Condemned", "Loss", "Standing"]
 __all__ += ["SuspectBook", "TargetStart", "Verdict"]
 
-ENDS_CONDEMN = 3
-"""A request is condemned that has ended so many targets: the users' figure."""
+ENDS_TO_CONDEMN = 3
+"""Number of targets that a request must have ended to be condemned."""
 
 KEPT_S = 600.0
-"""How long a loss counts, in seconds. A condemned request is then tried again: targets may have got
-another version meanwhile. If it still ends them, that costs one target in ten minutes."""
+"""How long a settled loss counts, in seconds. After that a condemned request is tried again, as
+targets may run another version; if it still ends them, this costs one target per period."""
 
-OPEN_S = 10.0
-"""How long it may take to settle whether a target has ended, in seconds: a lapsed entry is noticed
-after 5 s."""
+SETTLE_TIMEOUT_S = 10.0
+"""How long an open loss counts, in seconds. It exceeds the time after which the lapsed entry of an
+ended target is noticed."""
 
 ALIVE_AFTER_S = 1.0
-"""A report that comes so many seconds after a loss was given after it: a report may take 0.7 s, and
-the word of it a few hundredths."""
+"""A report received this long after a loss, in seconds, was sent after it: the bound covers the age
+of the report and the delivery of the loss."""
 
-MOST_SHARED = 96
-"""Losses that boxes compare and tell each other whole, in eight datagrams. Of requests that were
-lost once each box is told at once, and most are innocent: after a loss of 22 engines at once in a
-large fleet there are some 130, and boxes would compare these for as long as they are kept."""
+MAX_SHARED_LOSSES = 96
+"""Maximum number of losses that boxes compare and send each other in full; they fit into eight
+datagrams. Requests lost only once are not compared, as most of them are innocent."""
 
-MOST_REQUESTS = 512
-"""Requests that are remembered, of which those with the fewest ends go first: some 0.4 MB. One end
-of a target brings eight running requests and a few that wait."""
+MAX_REQUESTS = 512
+"""Maximum number of requests kept; those with the fewest losses are evicted first."""
 
 
 class TargetStart(NamedTuple):
-    """One start of a target: its name, and what tells its starts apart (see `TargetEntry`)."""
+    """One start of a target's process.
+
+    `name` is the target's; `born` distinguishes its starts (see `TargetEntry`), 0 if unknown.
+    """
 
     name: str
     born: int
 
 
 class Verdict(IntEnum):
-    """What is known of the target of a loss; of two boxes' verdicts the higher one holds."""
+    """Whether the target of a loss has ended; when boxes disagree, the higher value wins."""
 
     OPEN = 0
     ENDED = 1
@@ -73,9 +76,11 @@
 class Standing(IntEnum):
     """What may be done with a request.
 
-    CLEAR : it is not suspected. WATCHED : it is kept apart from other suspects. ALONE : it runs by
-    itself, one at a time in the fleet. HELD : it waits until it is settled whether targets ended.
-    CONDEMNED : it is refused.
+    CLEAR : It is not suspected.
+    WATCHED : It is kept apart from other suspects.
+    ALONE : It runs by itself, one at a time in the fleet.
+    HELD : It waits until it is settled whether the targets ended.
+    CONDEMNED : It is refused.
     """
 
     CLEAR = 0
@@ -92,15 +97,15 @@
     Parameters
     ----------
     digest : bytes
-        Stands for the request, see `forward.identity`.
+        Identifies the request, see `forward.identity`.
     start : TargetStart
-        The target.
+        The start of the target.
     at_s : float
-        When it was lost, or cleared, by the monotonic clock.
+        Time of the loss, or of its clearing, by the monotonic clock.
     verdict : Verdict
         Whether the target has ended.
     route, organisation : str
-        Whose request it was, for the operators.
+        Origin of the request, for operators.
     """
 
     digest: bytes
@@ -112,18 +117,18 @@
 
 
 class Condemned(NamedTuple):
-    """A condemned request, as operators see it.
+    """A condemned request, as shown to operators.
 
     Parameters
     ----------
     digest : bytes
-        Stands for the request.
+        Identifies the request.
     route, organisation : str
-        Whose it is.
+        Origin of the request.
     starts : tuple of TargetStart
-        The targets that ended under it.
+        The targets that it ended.
     age_s, left_s : float
-        Since its last loss, and until it is tried again, in seconds.
+        Seconds since its last loss, and until it is tried again.
     """
 
     digest: bytes
@@ -135,12 +140,12 @@
 
 
 class SuspectBook:
-    """The losses that are known to a box.
+    """The losses known to a box, and the standing of requests that follows from them.
 
     Attributes
     ----------
     on_condemned : callable
-        Called with each `Condemned` when it becomes known.
+        Called with a `Condemned` when a request becomes condemned.
     """
 
     def __init__(self) -> None:
@@ -151,9 +156,9 @@
         self._condemned: set[bytes] = set()
         self._checksum: int | None = 0
         self._watching: bool | None = False
-        self._looked_s = float("-inf")
+        self._last_expiry_s = float("-inf")
 
-    # What happens.
+    # Events.
 
     def note_lost(
         self,
@@ -163,120 +168,126 @@
         route: str = "",
         organisation: str = "",
     ) -> list[Loss]:
-        """Note that a request was lost with targets; return what is new."""
+        """Record that a request was lost with targets; return the new losses."""
         losses = [Loss(digest, s, now_s, Verdict.OPEN, route, organisation) for s in starts]
-        return [loss for loss in losses if self._merge_one(loss, now_s)]
+        return [loss for loss in losses if self._merge_loss(loss, now_s)]
 
     def note_ended(self, start: TargetStart, now_s: float) -> list[Loss]:
-        """Note that a target has ended, other than as planned; return the losses it settles."""
-        self._ended_s = {s: at_s for s, at_s in self._ended_s.items() if now_s - at_s < OPEN_S}
+        """Record the unplanned end of a target; return the losses that it settles."""
+        self._ended_s = {
+            s: at_s for s, at_s in self._ended_s.items() if now_s - at_s < SETTLE_TIMEOUT_S
+        }
         self._ended_s[start] = now_s
         return self._settle(start, now_s, Verdict.ENDED, lambda loss: loss.verdict is Verdict.OPEN)
 
     def note_alive(self, start: TargetStart, now_s: float) -> list[Loss]:
-        """Note that a target gives reports: it had not ended; return the losses it clears.
+        """Record a report of a target; return the losses that it clears.
 
-        A start that does not say which it is may be a later one.
+        If `start.born` is 0, the report may come from a later start and clears open losses only.
         """
         if now_s - self._ended_s.get(start, now_s) >= ALIVE_AFTER_S:
             del self._ended_s[start]
 
-        def lives_on(loss: Loss) -> bool:
-            told = loss.verdict is Verdict.OPEN or (start.born and loss.verdict is Verdict.ENDED)
-            return bool(told) and now_s - loss.at_s >= ALIVE_AFTER_S
+        def is_refuted(loss: Loss) -> bool:
+            refutable = loss.verdict is Verdict.OPEN or (
+                start.born and loss.verdict is Verdict.ENDED
+            )
+            return bool(refutable) and now_s - loss.at_s >= ALIVE_AFTER_S
 
-        return self._settle(start, now_s, Verdict.CLEARED, lives_on)
+        return self._settle(start, now_s, Verdict.CLEARED, is_refuted)
 
     def note_served(self, digest: bytes, now_s: float) -> list[Loss]:
-        """Note that a request has run to its end; return the losses that are cleared by it."""
-        open_ = [loss for loss in self._losses.get(digest, {}).values() if _counts(loss)]
-        for loss in open_:
+        """Record that a request completed; return the losses that this clears."""
+        uncleared = [loss for loss in self._losses.get(digest, {}).values() if _is_uncleared(loss)]
+        for loss in uncleared:
             loss.verdict, loss.at_s = Verdict.CLEARED, now_s
-        if open_:
-            self._changed(open_, now_s)
-        return open_
+        if uncleared:
+            self._note_change(uncleared, now_s)
+        return uncleared
 
     def merge(self, losses: Iterable[Loss], now_s: float) -> None:
-        """Take losses that another box knows."""
+        """Merge losses received from another box."""
         for loss in losses:
-            self._merge_one(loss, now_s)
+            self._merge_loss(loss, now_s)
 
-    # What follows.
+    # Results.
 
     @property
     def is_watching(self) -> bool:
-        """Whether any request is suspected, so that it matters which one comes."""
+        """Whether any request is suspected; if not, requests need not be identified."""
         if self._watching is None:
-            self._watching = any(map(_counts, self.losses()))
+            self._watching = any(map(_is_uncleared, self.losses()))
         return self._watching
 
     def standing(self, digest: bytes, now_s: float) -> Standing:
-        """Return what may be done with a request."""
-        self._forget(now_s)
-        losses = self._blamed(digest)
+        """Return the standing of a request."""
+        self._drop_expired(now_s)
+        losses = self._attributed_losses(digest)
         if not losses:
             return Standing.CLEAR
         ended = [loss for loss in losses if loss.verdict is Verdict.ENDED]
-        if _ends(ended) >= ENDS_CONDEMN and any(self._is_singled_out(loss) for loss in ended):
+        if _count_ends(ended) >= ENDS_TO_CONDEMN and any(
+            self._is_sole_cause(loss) for loss in ended
+        ):
             return Standing.CONDEMNED
-        if _ends(losses) >= ENDS_CONDEMN and len(ended) < len(losses):
+        if _count_ends(losses) >= ENDS_TO_CONDEMN and len(ended) < len(losses):
             return Standing.HELD
-        return Standing.ALONE if _ends(losses) > 1 else Standing.WATCHED
+        return Standing.ALONE if _count_ends(losses) > 1 else Standing.WATCHED
 
     def condemned(self, now_s: float) -> list[Condemned]:
-        """Return the condemned requests, the latest first."""
+        """Return the condemned requests, latest first."""
         rows = [
-            self._row(digest, now_s)
+            self._condemned_row_of(digest, now_s)
             for digest in list(self._losses)
             if self.standing(digest, now_s) is Standing.CONDEMNED
         ]
         return sorted(rows, key=lambda row: row.age_s)
 
     def condemned_row(self, digest: bytes, now_s: float) -> Condemned | None:
-        """Return what is known of a condemned request, None if it is not condemned."""
+        """Return the details of a condemned request; None if it is not condemned."""
         if self.standing(digest, now_s) is not Standing.CONDEMNED:
             return None
-        return self._row(digest, now_s)
+        return self._condemned_row_of(digest, now_s)
 
     def losses(self) -> list[Loss]:
-        """Return all that is known, the latest first."""
+        """Return all losses, latest first."""
         rows = [loss for by_start in self._losses.values() for loss in by_start.values()]
         return sorted(rows, key=lambda loss: -loss.at_s)
 
     def shared(self) -> list[Loss]:
-        """Return what boxes compare: the losses of requests that were lost with several targets.
+        """Return the losses that boxes compare: those of requests lost with several targets.
 
-        Those with the most losses come first, in an order that depends on the losses alone.
+        Requests with the most losses come first, in an order that depends on the losses alone.
         """
         lost = [rows for rows in self._losses.values() if len(rows) > 1]
         lost.sort(key=lambda rows: (-len(rows), next(iter(rows.values())).digest))
         rows = [rows[start] for rows in lost for start in sorted(rows)]
-        return rows[:MOST_SHARED]
+        return rows[:MAX_SHARED_LOSSES]
 
     @property
     def checksum(self) -> int:
-        """What stands for `shared`; equal on boxes that know the same, 0 if there is nothing."""
+        """Checksum of `shared`, equal on boxes with the same losses; 0 if there are none."""
         if self._checksum is None:
             rows = [(loss.digest, *loss.start, int(loss.verdict)) for loss in self.shared()]
             digest = hashlib.sha256(repr(rows).encode()).digest()
             self._checksum = int.from_bytes(digest[:8], signed=True) if rows else 0
         return self._checksum
 
-    # How.
+    # Internals.
 
-    def _merge_one(self, loss: Loss, now_s: float) -> bool:
-        """Take a loss; return whether it says more than was known."""
-        if now_s - loss.at_s >= _kept_s(loss):
+    def _merge_loss(self, loss: Loss, now_s: float) -> bool:
+        """Merge a loss; return whether it is new or has a higher verdict."""
+        if now_s - loss.at_s >= _retention_s(loss):
             return False
         known = self._losses.setdefault(loss.digest, {}).get(loss.start)
         if known is not None and known.verdict >= loss.verdict:
             return False
-        if now_s - self._ended_s.get(loss.start, float("-inf")) < OPEN_S:
+        if now_s - self._ended_s.get(loss.start, float("-inf")) < SETTLE_TIMEOUT_S:
             loss.verdict = max(loss.verdict, Verdict.ENDED)
         self._losses[loss.digest][loss.start] = loss
         self._lost_with[loss.start].add(loss.digest)
-        self._changed([loss], now_s)
-        if len(self._losses) > MOST_REQUESTS:
+        self._note_change([loss], now_s)
+        if len(self._losses) > MAX_REQUESTS:
             self._evict()
         return True
 
@@ -290,62 +301,62 @@
             if verdict is Verdict.CLEARED:
                 loss.at_s = now_s
         if settled:
-            self._changed(settled, now_s)
+            self._note_change(settled, now_s)
         return settled
 
-    def _blamed(self, digest: bytes) -> list[Loss]:
-        """Return the losses of a request that no other one explains better."""
-        losses = [loss for loss in self._losses.get(digest, {}).values() if _counts(loss)]
-        return [loss for loss in losses if self._most_beside(loss) <= len(losses)]
+    def _attributed_losses(self, digest: bytes) -> list[Loss]:
+        """Return the losses of a request that no other request explains better."""
+        losses = [loss for loss in self._losses.get(digest, {}).values() if _is_uncleared(loss)]
+        return [loss for loss in losses if self._max_competing_losses(loss) <= len(losses)]
 
-    def _is_singled_out(self, loss: Loss) -> bool:
+    def _is_sole_cause(self, loss: Loss) -> bool:
         """Whether no other request is as likely to have ended the target."""
-        return self._most_beside(loss) < self._weight(loss.digest)
+        return self._max_competing_losses(loss) < self._loss_count(loss.digest)
 
-    def _most_beside(self, loss: Loss) -> int:
-        """Return the most losses that another request has which was lost with the same target."""
+    def _max_competing_losses(self, loss: Loss) -> int:
+        """Return the most losses of any other request lost with the same target."""
         others = self._lost_with[loss.start] - {loss.digest}
-        alike = [o for o in others if _counts(self._losses[o][loss.start])]
-        return max(map(self._weight, alike), default=0)
+        competing = [o for o in others if _is_uncleared(self._losses[o][loss.start])]
+        return max(map(self._loss_count, competing), default=0)
 
-    def _weight(self, digest: bytes) -> int:
-        return sum(map(_counts, self._losses[digest].values()))
+    def _loss_count(self, digest: bytes) -> int:
+        return sum(map(_is_uncleared, self._losses[digest].values()))
 
-    def _changed(self, losses: Iterable[Loss], now_s: float) -> None:
-        """Note a change; whoever was lost with the same targets may stand differently now."""
+    def _note_change(self, losses: Iterable[Loss], now_s: float) -> None:
+        """Update what depends on changed losses: all requests lost with the same targets."""
         self._checksum = self._watching = None
-        touched = {digest for loss in losses for digest in self._lost_with[loss.start]}
-        for digest in touched:
+        affected = {digest for loss in losses for digest in self._lost_with[loss.start]}
+        for digest in affected:
             if self.standing(digest, now_s) is not Standing.CONDEMNED:
                 self._condemned.discard(digest)
             elif digest not in self._condemned:
                 self._condemned.add(digest)
-                self.on_condemned(self._row(digest, now_s))
+                self.on_condemned(self._condemned_row_of(digest, now_s))
 
-    def _row(self, digest: bytes, now_s: float) -> Condemned:
-        losses = self._blamed(digest)
+    def _condemned_row_of(self, digest: bytes, now_s: float) -> Condemned:
+        losses = self._attributed_losses(digest)
         ages_s = sorted(now_s - loss.at_s for loss in losses)
         starts = tuple(sorted(loss.start for loss in losses))
-        left_s = max(0.0, KEPT_S - ages_s[ENDS_CONDEMN - 1])
+        left_s = max(0.0, KEPT_S - ages_s[ENDS_TO_CONDEMN - 1])
         first = losses[0]
         return Condemned(digest, first.route, first.organisation, starts, ages_s[0], left_s)
 
-    def _forget(self, now_s: float) -> None:
-        """Drop what counts no more; looked for once a second."""
-        if now_s - self._looked_s < 1.0:
+    def _drop_expired(self, now_s: float) -> None:
+        """Drop expired losses; checks at most once a second."""
+        if now_s - self._last_expiry_s < 1.0:
             return
-        self._looked_s = now_s
-        old = [loss for loss in self.losses() if now_s - loss.at_s >= _kept_s(loss)]
+        self._last_expiry_s = now_s
+        old = [loss for loss in self.losses() if now_s - loss.at_s >= _retention_s(loss)]
         for loss in old:
             self._drop(loss)
 
     def _evict(self) -> None:
-        """Drop the request of which least is known."""
-        worst = min(self._losses, key=lambda d: (self._weight(d), self._last_s(d)))
-        for loss in list(self._losses[worst].values()):
+        """Drop the request with the fewest losses, the oldest of these."""
+        evicted = min(self._losses, key=lambda d: (self._loss_count(d), self._last_loss_s(d)))
+        for loss in list(self._losses[evicted].values()):
             self._drop(loss)
 
-    def _last_s(self, digest: bytes) -> float:
+    def _last_loss_s(self, digest: bytes) -> float:
         return max(loss.at_s for loss in self._losses[digest].values())
 
     def _drop(self, loss: Loss) -> None:
@@ -359,17 +370,17 @@
             del self._lost_with[loss.start]
 
 
-def _counts(loss: Loss) -> bool:
+def _is_uncleared(loss: Loss) -> bool:
     return loss.verdict is not Verdict.CLEARED
 
 
-def _kept_s(loss: Loss) -> float:
-    return OPEN_S if loss.verdict is Verdict.OPEN else KEPT_S
+def _retention_s(loss: Loss) -> float:
+    return SETTLE_TIMEOUT_S if loss.verdict is Verdict.OPEN else KEPT_S
 
 
-def _ends(losses: Iterable[Loss]) -> int:
-    """Return how many targets ended; starts that can't be told apart count once."""
-    borns: dict[str, set[int]] = defaultdict(set)
+def _count_ends(losses: Iterable[Loss]) -> int:
+    """Return how many targets ended; a loss with unknown start adds none to known starts."""
+    starts_by_name: dict[str, set[int]] = defaultdict(set)
     for loss in losses:
-        borns[loss.start.name].add(loss.start.born)
-    return sum(max(1, len(known - {0})) for known in borns.values())
+        starts_by_name[loss.start.name].add(loss.start.born)
+    return sum(max(1, len(known - {0})) for known in starts_by_name.values())
--- a/gladedrum/scheduling/tests/test_credit.py
+++ b/gladedrum/scheduling/tests/test_credit.py
@@ -91,7 +91,7 @@
 
 
 def test_memory_that_is_reported_but_not_known_counts_as_a_long_prompt_being_read():
-    secret = candidate("a", unknown_tokens=190_000.0)
+    secret = candidate("a", unaccounted_tokens=190_000.0)
     known = candidate("b", row("s1", 5_000, writing=True))
     assert place(TRAITS, [secret, known], SHORT, 0.0).name == "b"
     assert place(TRAITS, [secret], LONG, 0.0) is None
@@ -120,8 +120,8 @@
 
 
 def test_a_distrusted_engine_comes_last():
-    sick = candidate("sick", distrust=0.5)
-    assert place(TRAITS, [sick, candidate("well", away=True)], SHORT, 0.0).name == "well"
+    sick = candidate("sick", failure_chance=0.5)
+    assert place(TRAITS, [sick, candidate("well", in_other_hall=True)], SHORT, 0.0).name == "well"
 
 
 def a_busy_fleet(rng, count=60):
--- a/gladedrum/scheduling/tests/test_giants.py
+++ b/gladedrum/scheduling/tests/test_giants.py
@@ -121,4 +121,4 @@
     monkeypatch.setattr(credit, "_quote", lambda *args: asked.append(1) or quote(*args))
     short = Job(5_000, 1_600, worth_of(5_000), due_s, 0.2, 2.0)
     place(TRAITS, fleet(1, giants=3, shorts=30), short, 0.0)
-    assert len(asked) <= 18 + credit.MOST_CONNECTED
+    assert len(asked) <= 18 + credit.MAX_EXTRA_CONNECTED
--- a/gladedrum/scheduling/tests/test_long_pauses.py
+++ b/gladedrum/scheduling/tests/test_long_pauses.py
@@ -25,7 +25,7 @@
 
     own: float
     helpers: float
-    distrust: float
+    failure_chance: float
     others: float
 
 
@@ -54,14 +54,14 @@
     names = (chosen.name, *chosen.helpers)
     by_name = {candidate.name: candidate for candidate in fleet}
     work = credit.Work(chosen.part_tokens, job.answer_tokens, pair_share=float(len(names)))
-    engines = [credit._engine(TRAITS, by_name[name], 0.0, 0.0) for name in names]
+    engines = [credit._engine_state(TRAITS, by_name[name], 0.0, 0.0) for name in names]
     others = sum(credit._quote(TRAITS, engine, work, 0.0).loss for engine in engines)
-    distrust = 1 - math.prod(1 - by_name[name].distrust for name in names)
-    prospect = credit.Prospect(chosen.first_event_s, chosen.pause_s)
+    failure_chance = 1 - math.prod(1 - by_name[name].failure_chance for name in names)
+    prediction = credit.Prediction(chosen.first_event_s, chosen.pause_s)
     return Shares(
-        credit._own_loss(job, prospect),
+        credit._job_loss(job, prediction),
         credit.HELPER_COST * job.value * len(chosen.helpers),
-        distrust * job.value,
+        failure_chance * job.value,
         others,
     )
 
@@ -73,12 +73,12 @@
     chosen = place(TRAITS, fleet, LONG, 0.0)
     shares = shares_of(fleet, LONG, chosen)
     names = (chosen.name, *chosen.helpers)
-    stopped = sum(candidate.ledger.at_stake for candidate in fleet if candidate.name in names)
+    stopped = sum(candidate.ledger.total_worth for candidate in fleet if candidate.name in names)
     print(chosen, shares, stopped)
     assert len(names) == 16
     assert abs(chosen.first_event_s - 2.557) < 0.05
     assert abs(sum(shares) - chosen.loss) < 0.01
-    assert shares.distrust == 0.0
+    assert shares.failure_chance == 0.0
     assert abs(shares.own - 22) < 1
     assert abs(shares.helpers - 12) < 0.1
     assert shares.others > 0.95 * stopped
@@ -96,9 +96,10 @@
 
 
 @pytest.mark.parametrize(
-    ("objective_s", "pause_s", "patience_s"), [(0.3, 0.25, 2.0), (1.5, 0.6, 6.0), (0.3, 1.0, 8.0)]
+    ("objective_s", "pause_s", "caller_wait_s"),
+    [(0.3, 0.25, 2.0), (1.5, 0.6, 6.0), (0.3, 1.0, 8.0)],
 )
-def test_a_row_tells_how_long_its_caller_waits_for_an_event(objective_s, pause_s, patience_s):
+def test_a_row_tells_how_long_its_caller_waits_for_an_event(objective_s, pause_s, caller_wait_s):
     stake = Stake(1.0, 10.0 + objective_s, pause_s)
     row = LedgerRow("w", 5_000, 1.0, 500, 5_500, True, stake, 10.0)
-    assert abs(row.patience_s - patience_s) < 1e-6
+    assert abs(row.caller_wait_s - caller_wait_s) < 1e-6
--- a/gladedrum/scheduling/tests/test_patience.py
+++ b/gladedrum/scheduling/tests/test_patience.py
@@ -13,9 +13,9 @@
 
 @pytest.mark.parametrize(("due_s", "placed_s"), [(1.0, 9.0), (1.0, 1.0), (float("-inf"), 9.0)])
 def test_a_row_that_is_placed_after_its_first_event_was_due_keeps_the_least_wait(due_s, placed_s):
-    assert row(due_s, placed_s).patience_s == CALLER_WAIT_S
+    assert row(due_s, placed_s).caller_wait_s == CALLER_WAIT_S
 
 
 def test_a_row_without_an_objective_waits_for_ever():
-    assert row(float("inf"), 9.0).patience_s == float("inf")
-    assert row(1.0, 9.0, float("inf")).patience_s == float("inf")
+    assert row(float("inf"), 9.0).caller_wait_s == float("inf")
+    assert row(1.0, 9.0, float("inf")).caller_wait_s == float("inf")
--- a/gladedrum/scheduling/tests/test_questions.py
+++ b/gladedrum/scheduling/tests/test_questions.py
@@ -16,10 +16,10 @@
 import pytest
 
 from gladedrum.scheduling.questions import (
-    LEAST_WAIT_S,
-    MOST_WAIT_S,
+    MAX_WAIT_S,
+    MIN_WAIT_S,
     AnswerTimes,
-    Next,
+    NextQuestion,
     WaitingQuestions,
 )
 
@@ -45,7 +45,7 @@
         self._waiting.append(item)
 
     def take(self, _now_s):
-        return Next(self._waiting.popleft(), True)
+        return NextQuestion(self._waiting.popleft(), True)
 
 
 class Decider:
@@ -82,7 +82,7 @@
         now_s += rng.expovariate(rate_at(now_s))
         decider = rng.choice(deciders)
         for asked_s, answered_s in decider.work_until(now_s):
-            in_time[int(asked_s)] += answered_s - asked_s <= LEAST_WAIT_S
+            in_time[int(asked_s)] += answered_s - asked_s <= MIN_WAIT_S
         decider.waiting.put(now_s, now_s)
         asked[int(now_s)] += 1
     return [in_time[second] / asked[second] for second in range(int(AFTER_S) - 1)]
@@ -105,8 +105,8 @@
     waiting = WaitingQuestions(PATIENCE_S)
     waiting.put("a", 0.0)
     waiting.put("b", 0.02)
-    assert waiting.take(0.04) == Next("b", True)
-    assert waiting.take(0.04) == Next("a", False)
+    assert waiting.take(0.04) == NextQuestion("b", True)
+    assert waiting.take(0.04) == NextQuestion("a", False)
     with pytest.raises(IndexError):
         waiting.take(0.04)
 
@@ -124,11 +124,11 @@
     """Slow member: at 60 ms an answer, a fixed wait of 40 ms loses every one of them."""
     times = AnswerTimes()
     play_asker(times, 0.005, 20)
-    assert times.wait_s("d") == LEAST_WAIT_S
+    assert times.wait_s("d") == MIN_WAIT_S
     assert play_asker(times, 0.06, 20) >= 18
 
 
 def test_no_decider_is_waited_for_longer_than_callers_can_bear():
     times = AnswerTimes()
     play_asker(times, 5.0, 20)
-    assert times.wait_s("d") == MOST_WAIT_S
+    assert times.wait_s("d") == MAX_WAIT_S
--- a/gladedrum/scheduling/tests/test_suspects.py
+++ b/gladedrum/scheduling/tests/test_suspects.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from gladedrum.scheduling.suspects import (
-    ENDS_CONDEMN,
+    ENDS_TO_CONDEMN,
     KEPT_S,
-    MOST_REQUESTS,
-    MOST_SHARED,
-    OPEN_S,
+    MAX_REQUESTS,
+    MAX_SHARED_LOSSES,
+    SETTLE_TIMEOUT_S,
     Standing,
     SuspectBook,
     TargetStart,
@@ -148,7 +148,7 @@
 def test_what_is_never_settled_is_forgotten_soon():
     book = SuspectBook()
     lose(book, 1, BAD, ended=False)
-    assert standing(book, BAD, OPEN_S + 0.1) is Standing.CLEAR
+    assert standing(book, BAD, SETTLE_TIMEOUT_S + 0.1) is Standing.CLEAR
     assert not book.is_watching
     assert book.checksum == 0
 
@@ -157,9 +157,9 @@
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD)
-    for index in range(3 * MOST_REQUESTS):
+    for index in range(3 * MAX_REQUESTS):
         book.note_lost(b"flood%d" % index, [start(1000 + index)], 2.0)
-    assert len({loss.digest for loss in book.losses()}) <= MOST_REQUESTS
+    assert len({loss.digest for loss in book.losses()}) <= MAX_REQUESTS
     assert standing(book, BAD, 2.0) is Standing.CONDEMNED
 
 
@@ -169,7 +169,7 @@
     for number in range(5):
         lose(book, number, BAD)
     assert [row.digest for row in told] == [BAD]
-    assert len(told[0].starts) == ENDS_CONDEMN
+    assert len(told[0].starts) == ENDS_TO_CONDEMN
 
 
 def events():
@@ -194,12 +194,12 @@
 def test_what_boxes_compare_is_bounded_and_converges_beyond_the_bound():
     """Two boxes know half each of more than is told at once; lost once, a request is left out."""
     rng, books = random.Random(5), [SuspectBook(), SuspectBook()]
-    for index in range(2 * MOST_SHARED):
+    for index in range(2 * MAX_SHARED_LOSSES):
         for _ in range(1 + index % 3):
             lose(rng.choice(books), 1000 + rng.randrange(500), b"r%d" % index, ended=index % 2 > 0)
     for _ in range(20):
         for one, other in (books, books[::-1]):
-            assert len(one.shared()) <= MOST_SHARED
+            assert len(one.shared()) <= MAX_SHARED_LOSSES
             other.merge([replace(loss) for loss in one.shared()], 1.0)
     assert books[0].checksum == books[1].checksum != 0
     book = SuspectBook()
