--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -3,7 +3,7 @@
 A request starts only once the memory for its whole life is reserved. The sum of granted
 reservations never exceeds the engine's memory. The queue estimates the engine's backlog from what
 it has granted, from the first tokens reported since and from the time that has passed. It corrects
-its estimate of the engine's speed by the measured times to the first token.
+its estimate of the engine's speed by the actual times to the first token.
 """
 
 import itertools
--- a/gladedrum/scheduling/tests/eighteen.py
+++ b/gladedrum/scheduling/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet of 18 engines that write short answers, for tests of where long prompts go."""
+"""A small fleet with short answers, for tests of the placement of long prompts."""
 
 from gladedrum.scheduling.credit import worth_of
 from gladedrum.scheduling.engine_model import EngineTraits
@@ -19,6 +19,6 @@
 
 
 def short_row(name: str) -> LedgerRow:
-    """Return a short answer that is being written."""
+    """Return a ledger row of a short answer that is being written."""
     stake = Stake(worth_of(5_000), -0.1, 0.25, 1.6)
     return LedgerRow(name, 5_000, 1.0, 1_300, 6_300, True, stake, -0.4, -0.3, 0.0)
--- a/gladedrum/scheduling/tests/test_patience.py
+++ b/gladedrum/scheduling/tests/test_caller_wait.py
@@ -1,4 +1,4 @@
-"""How long the caller of a row in a ledger is taken to wait in a pause."""
+"""Estimate of how long a caller waits during a pause."""
 
 import pytest
 
@@ -12,10 +12,10 @@
 
 
 @pytest.mark.parametrize(("due_s", "placed_s"), [(1.0, 9.0), (1.0, 1.0), (float("-inf"), 9.0)])
-def test_a_row_that_is_placed_after_its_first_event_was_due_keeps_the_least_wait(due_s, placed_s):
+def test_request_placed_after_its_due_time_has_the_minimum_wait(due_s, placed_s):
     assert row(due_s, placed_s).caller_wait_s == CALLER_WAIT_S
 
 
-def test_a_row_without_an_objective_waits_for_ever():
+def test_request_without_objective_waits_forever():
     assert row(float("inf"), 9.0).caller_wait_s == float("inf")
     assert row(1.0, 9.0, float("inf")).caller_wait_s == float("inf")
--- a/gladedrum/scheduling/tests/test_credit.py
+++ b/gladedrum/scheduling/tests/test_credit.py
@@ -1,4 +1,4 @@
-"""Placement over the engine model: what a user would expect, and what must hold for any load."""
+"""Placement by expected loss: choices of engines, and properties for arbitrary load."""
 
 import random
 
@@ -33,23 +33,23 @@
     return Candidate(name, ledger, **fields)
 
 
-def test_a_short_prompt_is_not_put_beside_a_long_one_that_is_read():
+def test_short_prompt_avoids_engine_that_reads_long_prompt():
     busy = candidate("busy", row("long", 130_000))
     quiet = candidate("quiet", *(row(f"s{i}", 5_000, writing=True) for i in range(5)))
     assert place(TRAITS, [busy, quiet], SHORT, 0.0).name == "quiet"
 
 
-def test_a_long_prompt_is_not_put_beside_short_answers():
+def test_long_prompt_avoids_engine_with_short_answers():
     short = candidate("short", *(row(f"s{i}", 5_000, writing=True) for i in range(3)))
     assert place(TRAITS, [short, candidate("idle")], LONG, 0.0).name == "idle"
 
 
-def test_short_prompts_leave_idle_engines_to_long_ones():
+def test_short_prompt_leaves_idle_engine_to_long_prompts():
     begun = candidate("begun", row("s1", 5_000, writing=True))
     assert place(TRAITS, [candidate("idle"), begun], SHORT, 0.0).name == "begun"
 
 
-def test_where_long_prompts_come_often_short_ones_share_engines_more():
+def test_frequent_long_prompts_concentrate_short_prompts_on_fewer_engines():
     reads = LongReads()
     for at_s in range(6):
         reads.note(130_000, 3, float(at_s))
@@ -60,7 +60,7 @@
     assert place(TRAITS, engines, SHORT, 200.0, reads).name != "begun"
 
 
-def test_only_reads_longer_than_the_pause_aimed_at_count_and_fade():
+def test_arrival_rate_counts_reads_beyond_the_pause_limit_and_decays():
     reads = LongReads()
     reads.note(5_000, 1, 0.0)
     reads.note(45_000, 1, 0.0)
@@ -69,7 +69,7 @@
     assert 0.0 < later < soon / 2
 
 
-def test_a_prompt_that_would_be_late_alone_is_read_in_parts():
+def test_prompt_that_one_engine_reads_too_late_is_split():
     job = LONG._replace(prompt_tokens=200_000)
     chosen = place(TRAITS, [candidate(f"e{i}") for i in range(4)], job, 0.0)
     assert chosen.helpers
@@ -77,7 +77,7 @@
     assert chosen.first_event_s < job.first_due_s
 
 
-def test_a_prompt_beyond_one_engine_needs_memory_at_helpers():
+def test_prompt_larger_than_one_engine_reserves_memory_on_helpers():
     job = LONG._replace(prompt_tokens=400_000)
     chosen = place(TRAITS, [candidate(f"e{i}") for i in range(4)], job, 0.0)
     assert chosen.reserved
@@ -85,19 +85,19 @@
     assert place(TRAITS, [candidate("only")], job, 0.0) is None
 
 
-def test_an_engine_without_the_memory_is_not_chosen():
+def test_engine_without_enough_memory_is_not_chosen():
     full = candidate("full", row("big", 228_000, writing=True))
     assert place(TRAITS, [full], SHORT, 0.0) is None
 
 
-def test_memory_that_is_reported_but_not_known_counts_as_a_long_prompt_being_read():
-    secret = candidate("a", unaccounted_tokens=190_000.0)
+def test_unaccounted_memory_counts_as_long_prompt_being_read():
+    unaccounted = candidate("a", unaccounted_tokens=190_000.0)
     known = candidate("b", row("s1", 5_000, writing=True))
-    assert place(TRAITS, [secret, known], SHORT, 0.0).name == "b"
-    assert place(TRAITS, [secret], LONG, 0.0) is None
+    assert place(TRAITS, [unaccounted, known], SHORT, 0.0).name == "b"
+    assert place(TRAITS, [unaccounted], LONG, 0.0) is None
 
 
-def test_policies_differ_in_what_they_place_beside():
+def test_policies_choose_different_engines():
     engines = [
         candidate("short", *(row(f"s{i}", 5_000, writing=True) for i in range(3))),
         candidate("long", row("l", 130_000)),
@@ -109,7 +109,7 @@
     assert chosen["length_pools"] == "short"
 
 
-def test_of_equal_engines_one_with_an_open_connection_is_taken_also_in_a_large_fleet():
+def test_connected_engine_is_preferred_beyond_the_shortlist():
     engines = [candidate(f"e{i}", row(f"s{i}", 5_000, writing=True)) for i in range(60)]
     busier = [row(f"x{i}", 5_000, writing=True) for i in range(2)]
     engines.append(candidate("connected", *busier, connected=True))
@@ -119,13 +119,15 @@
     assert place(TRAITS, engines, SHORT, 0.0).name not in ("reading", "connected")
 
 
-def test_a_distrusted_engine_comes_last():
-    sick = candidate("sick", failure_chance=0.5)
-    assert place(TRAITS, [sick, candidate("well", in_other_hall=True)], SHORT, 0.0).name == "well"
+def test_engine_with_failures_is_avoided():
+    failing = candidate("failing", failure_chance=0.5)
+    assert (
+        place(TRAITS, [failing, candidate("well", in_other_hall=True)], SHORT, 0.0).name == "well"
+    )
 
 
-def a_busy_fleet(rng, count=60):
-    """Return engines with short answers and some longer prompts, as full as `rng` says."""
+def busy_fleet(rng, count=60):
+    """Return engines with random load: short answers and a few longer prompts."""
     share = rng.choice([0.1, 0.3, 0.6])
     return [
         candidate(
@@ -144,24 +146,24 @@
     ]
 
 
-def test_the_search_for_a_number_of_parts_loses_little_against_trying_all(monkeypatch):
+def test_search_for_part_count_is_close_to_exhaustive_search(monkeypatch):
     rng = random.Random(3)
-    found, least = 0.0, 0.0
+    chosen_loss, lowest_loss = 0.0, 0.0
     for _ in range(30):
-        engines, prompt = a_busy_fleet(rng), rng.choice([45_000, 100_000, 190_000, 400_000])
+        engines, prompt = busy_fleet(rng), rng.choice([45_000, 100_000, 190_000, 400_000])
         job = Job(prompt, 800, worth_of(prompt), 1.5 if prompt < 50_000 else 3.0, 1.0, 12.0)
-        found += place(TRAITS, engines, job, 0.0).loss
+        chosen_loss += place(TRAITS, engines, job, 0.0).loss
         losses = []
         with monkeypatch.context() as patched:
             for count in credit.PART_COUNTS:
                 patched.setattr(credit, "PART_COUNTS", (count,))
                 chosen = place(TRAITS, engines, job, 0.0)
                 losses += [chosen.loss] if chosen is not None else []
-        least += min(losses)
-    assert found <= 1.03 * least
+        lowest_loss += min(losses)
+    assert chosen_loss <= 1.03 * lowest_loss
 
 
-def test_the_model_reads_as_the_published_figures_say():
+def test_model_reproduces_known_engine_timings():
     assert abs(read_time_s(TRAITS, 4_960) - 0.0258) < 0.001
     (alone,) = predict(TRAITS, [], Work(45_000, 800))
     assert abs(alone.first_event_s - (0.358 + 22 * 0.00102 + 0.044)) < 0.02
@@ -170,8 +172,8 @@
     assert beside.pause_s > 0.25
 
 
-def test_a_part_of_a_joint_prompt_is_read_before_whole_and_joint_prompts_that_came_earlier():
-    """Found on a quiet day: dossiers were predicted in 1.2 s and came after 4 s."""
+def test_joint_part_is_read_before_earlier_prompts():
+    """Guards against predicting the first events of earlier prompts too early."""
     for earlier in (Work(100_000, 500), Work(60_000, 500, pair_share=2.0)):
         alone = predict(TRAITS, [], earlier)[0].first_event_s
         part = Work(60_000, 0.0, pair_share=3.0, writes=False)
@@ -201,8 +203,8 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(works, max_size=10), newcomers, st.floats(1.0, 4.0))
-def test_a_whole_prompt_that_comes_last_makes_nobody_sooner(present, newcomer, pace):
-    """Not so for joint parts: they go first, and whose pass carries whose reading shifts."""
+def test_additional_whole_prompt_speeds_up_no_request(present, newcomer, pace):
+    """Holds for whole prompts only: a joint part is read first and reorders the others."""
     newcomer.pair_share, newcomer.writes = 1.0, True
     without = predict(TRAITS, present, Work(0.0, 0.0, writes=False), pace)
     beside = predict(TRAITS, present, newcomer, pace)
@@ -212,7 +214,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(works, max_size=10), newcomers, st.floats(1.0, 4.0))
-def test_a_slow_engine_makes_nobody_sooner(present, newcomer, pace):
+def test_slower_engine_speeds_up_no_request(present, newcomer, pace):
     beside = predict(TRAITS, present, newcomer, pace)
     fast = predict(TRAITS, present, newcomer)
     assert len(beside) == len(present) + 1
@@ -225,7 +227,7 @@
     st.lists(st.lists(st.tuples(st.integers(10, 200_000), st.booleans()), max_size=5), max_size=6),
     st.integers(10, 600_000),
 )
-def test_a_placement_never_needs_more_memory_than_there_is(engines, prompt):
+def test_placement_fits_into_memory(engines, prompt):
     candidates = [
         candidate(f"e{i}", *(row(f"w{i}.{j}", p, writing=w) for j, (p, w) in enumerate(rows)))
         for i, rows in enumerate(engines)
--- a/gladedrum/scheduling/tests/test_part_counts.py
+++ b/gladedrum/scheduling/tests/test_part_counts.py
@@ -1,4 +1,4 @@
-"""How many engines a long prompt stops: no other number of parts may cost clearly less."""
+"""The chosen number of parts costs at most slightly more than the best one."""
 
 import random
 
@@ -7,7 +7,7 @@
 from gladedrum.scheduling import credit
 from gladedrum.scheduling.credit import Candidate, Job, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger
-from gladedrum.scheduling.tests.eighteen import ENGINES, TRAITS, short_row
+from gladedrum.scheduling.tests.small_fleet import ENGINES, TRAITS, short_row
 
 PROMPTS = (180_000, 350_000, 507_726, 650_000, 800_000)
 
@@ -25,7 +25,7 @@
 
 
 def least_loss(monkeypatch, fleet, job):
-    """Return the loss of the number of parts that costs the least, all of them tried."""
+    """Return the lowest loss over all numbers of parts."""
     losses = []
     for count in credit.PART_COUNTS:
         with monkeypatch.context() as patched:
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("prompt", PROMPTS)
-def test_no_other_number_of_parts_costs_clearly_less(monkeypatch, prompt):
+def test_no_other_part_count_costs_clearly_less(monkeypatch, prompt):
     rng = random.Random(prompt)
     for _ in range(12):
         writers = [rng.choice([1, 2, 2, 3, 3, 4]) for _ in range(ENGINES)]
@@ -45,8 +45,8 @@
         assert chosen.loss <= 1.02 * least_loss(monkeypatch, fleet, long_job(prompt)), writers
 
 
-def test_a_fleet_is_not_stopped_for_a_prompt_that_fewer_engines_read_at_less_loss():
-    """Seen: one prompt on 16 of 18 engines for 2.5 s, and all short answers there stood still."""
+def test_long_prompt_does_not_stall_the_whole_fleet():
+    """Guards against reading one prompt on nearly all engines at once."""
     fleet = [engine(f"e{i}", 3) for i in range(ENGINES)]
     chosen = place(TRAITS, fleet, long_job(656_533), 0.0)
     assert 1 + len(chosen.helpers) < ENGINES / 2
--- a/gladedrum/scheduling/tests/test_queue.py
+++ b/gladedrum/scheduling/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""A queue never sells memory twice, loses no request, and lets nobody starve."""
+"""A queue never overcommits memory, loses no request and starves none."""
 
 import math
 
@@ -26,7 +26,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Offers, grants, releases, adoptions and lapses in any order, under any policy."""
+    """Offers, grants, releases, adoptions and expiries in any order, under any policy."""
 
     def __init__(self):
         super().__init__()
@@ -87,22 +87,22 @@
         self.adopted.add(job.job_id)
 
     @invariant()
-    def nothing_is_lost_or_doubled(self):
+    def no_request_is_lost_or_duplicated(self):
         assert set(self.queue.waiting) == self.waiting
         assert set(self.queue.running) == self.granted | self.adopted
 
     @invariant()
-    def memory_is_never_oversold_by_grants(self):
+    def grants_never_exceed_memory(self):
         if not self.adopted:
             assert self.queue.free_tokens >= 0
             assert len(self.queue.running) <= 4
 
     @invariant()
-    def queues_are_bounded(self):
+    def queue_is_bounded(self):
         assert len(self.queue.waiting) <= 8
 
     @invariant()
-    def estimates_are_sane(self):
+    def remaining_prefill_is_within_bounds(self):
         for reservation in self.queue.running.values():
             assert 0 <= reservation.remaining_s <= reservation.prefill_s
 
@@ -114,8 +114,8 @@
 
 
 @pytest.mark.parametrize("name", policy_names())
-def test_a_dossier_starts_though_short_prompts_never_stop_coming(name):
-    """Newcomers each second, for as long as the dossier has, with half of them running."""
+def test_long_prompt_is_not_starved_by_short_ones(name):
+    """A new short prompt arrives each second until the long prompt's deadline."""
     queue, chosen = TargetQueue(_TRAITS, QueueLimits(renewal_s=math.inf)), policy(name)
     dossier = Job("dossier", "a", "dossier", 8_000, 100, 0.0, 500.0, whole_tokens=40_000)
     assert isinstance(queue.offer(dossier, chosen, 0.0), Queued)
@@ -132,14 +132,14 @@
     pytest.fail("the dossier never started")
 
 
-def test_a_request_that_cannot_make_its_time_is_refused_at_once():
+def test_request_that_cannot_meet_its_deadline_is_refused_at_once():
     queue, chosen = TargetQueue(_TRAITS), policy("fair_slack")
     refused = queue.offer(_job(1, 5_000, 100, 0.0, time_s=3.0), chosen, 0.0)
     assert isinstance(refused, Refused)
     assert refused.retry_after_s >= 1
 
 
-def test_memory_that_the_engine_reports_missing_is_not_granted():
+def test_withheld_memory_is_not_granted():
     queue, chosen = TargetQueue(_TRAITS), policy("fifo")
     queue.withhold(9_500)
     queue.offer(_job(1), chosen, 0.0)
@@ -148,8 +148,8 @@
     assert len(queue.pump(0.0)) == 1
 
 
-def test_a_taken_over_reservation_blocks_new_grants_until_it_is_released():
-    """After a change of owner, what runs may be more than the new owner would have granted."""
+def test_adopted_reservations_block_new_grants_until_released():
+    """After a change of owner, running requests may exceed the engine's memory."""
     queue, chosen = TargetQueue(_TRAITS), policy("fifo")
     for number in (1, 2):
         queue.adopt(_job(number, 7_000), chosen, 0.0)
@@ -160,7 +160,7 @@
     assert [g.job.job_id for g in queue.pump(1.0)] == ["j3"]
 
 
-def test_an_organisation_with_much_recent_work_goes_later():
+def test_organisation_with_more_recent_work_goes_later():
     queue, chosen = TargetQueue(_TRAITS), policy("fair_slack")
     for number in range(4):
         queue.offer(_job(number, 2_000, 10, 0.0, organisation="large"), chosen, 0.0)
--- a/gladedrum/scheduling/tests/test_segments.py
+++ b/gladedrum/scheduling/tests/test_segments.py
@@ -1,4 +1,4 @@
-"""Segments cover the prompt once, fit their engines, and are reserved in one order."""
+"""Segments cover the prompt exactly once, fit their engines and are reserved in a fixed order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,13 +14,13 @@
     engines=st.integers(1, 20),
     preferred=st.floats(0.1, 0.85),
 )
-def test_segments_cover_the_prompt_and_fit(prompt, output, memory, engines, preferred):
+def test_segments_cover_the_prompt_and_fit_into_memory(prompt, output, memory, engines, preferred):
     rule = SegmentRule(preferred, 0.85)
     segments = plan_segments(prompt, output, memory, engines, rule)
-    room = int(memory * 0.85)
+    largest = int(memory * 0.85)
     if not segments:
-        # Too long for the engines, or for the answer to fit behind the end of the prompt.
-        assert prompt + output > min(room, preferred * memory)
+        # The engines are too few, or the answer does not fit behind the last segment.
+        assert prompt + output > min(largest, preferred * memory)
         return
     assert len(segments) <= min(engines, MAX_SEGMENTS)
     assert sum(s.prompt_tokens for s in segments) == prompt
@@ -29,16 +29,16 @@
     for segment in segments:
         assert segment.start_tokens == position
         assert segment.prompt_tokens > 0
-        assert segment.prompt_tokens + segment.output_tokens <= room
+        assert segment.prompt_tokens + segment.output_tokens <= largest
         position += segment.prompt_tokens
 
 
 @given(st.lists(st.text(max_size=5), unique=True))
-def test_all_boxes_reserve_in_the_same_order(names):
+def test_reservation_order_does_not_depend_on_input_order(names):
     assert reservation_order(names) == reservation_order(names[::-1])
 
 
-def test_jobs_of_segments_know_their_place():
+def test_segment_jobs_keep_the_length_of_the_whole_prompt():
     job = Job("r", "a", "dossier", 900_000, 100, 0.0, 1.0, prefix=(1, 2))
     jobs = jobs_of(job, 400_000, 18, SegmentRule(0.85, 0.85))
     assert [j.job_id for j in jobs] == ["r.s0", "r.s1", "r.s2"]
@@ -46,6 +46,6 @@
     assert jobs[0].prefix and not jobs[1].prefix
 
 
-def test_a_request_that_fits_is_its_own_job():
+def test_request_that_fits_is_not_split():
     job = Job("r", "a", "clause", 1_000, 100, 0.0, 1.0)
     assert jobs_of(job, 400_000, 18, SegmentRule(0.85, 0.85)) == [job]
--- a/gladedrum/scheduling/tests/test_suspects.py
+++ b/gladedrum/scheduling/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are judged to end targets, and which are not."""
+"""Detection of requests that crash targets."""
 
 import itertools
 import random
@@ -37,7 +37,7 @@
     return book.standing(digest, now_s)
 
 
-def test_the_standing_rises_with_each_target_that_ends():
+def test_standing_escalates_with_each_ended_target():
     book = SuspectBook()
     found = [standing(book, BAD)]
     for number in range(3):
@@ -46,7 +46,7 @@
     assert found == [Standing.CLEAR, Standing.WATCHED, Standing.ALONE, Standing.CONDEMNED]
 
 
-def test_nothing_is_judged_before_it_is_settled_whether_the_targets_ended():
+def test_request_is_held_until_open_losses_are_settled():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD, ended=False)
@@ -56,7 +56,7 @@
     assert standing(book, BAD) is Standing.CONDEMNED
 
 
-def test_a_target_that_goes_on_reporting_has_not_ended():
+def test_report_of_a_target_clears_open_losses():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD, ended=False)
@@ -65,7 +65,7 @@
     assert standing(book, BAD, 1.3) is Standing.CLEAR
 
 
-def test_a_link_that_refuses_connections_is_no_end_once_the_target_reports():
+def test_report_of_the_same_start_clears_ended_losses():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD)
@@ -73,7 +73,7 @@
     assert standing(book, BAD, 1.6) is Standing.CLEAR
 
 
-def test_a_report_of_a_later_start_does_not_speak_for_the_earlier():
+def test_report_of_a_later_start_clears_nothing():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD)
@@ -81,7 +81,7 @@
     assert standing(book, BAD, 4.0) is Standing.CONDEMNED
 
 
-def test_a_target_that_was_known_to_have_ended_when_the_word_of_the_loss_comes():
+def test_loss_reported_after_the_end_of_its_target_counts_as_ended():
     book = SuspectBook()
     for number in range(3):
         book.note_ended(start(number), 0.0)
@@ -89,7 +89,7 @@
     assert standing(book, BAD) is Standing.CONDEMNED
 
 
-def test_starts_that_can_not_be_told_apart_count_once():
+def test_unknown_start_adds_no_end():
     book = SuspectBook()
     for born in (0, 7, 8):
         book.note_lost(BAD, [TargetStart("t1", born)], 0.0)
@@ -97,14 +97,14 @@
     assert standing(book, BAD) is Standing.ALONE
 
 
-def test_one_target_that_is_lost_many_times_counts_once():
+def test_repeated_loss_with_one_start_counts_once():
     book = SuspectBook()
     for _ in range(5):
         lose(book, 1, BAD)
     assert standing(book, BAD) is Standing.WATCHED
 
 
-def test_a_request_that_has_run_to_its_end_anywhere_is_cleared():
+def test_completed_request_is_cleared():
     book = SuspectBook()
     for number in range(4):
         lose(book, number, BAD)
@@ -113,8 +113,8 @@
     assert standing(book, BAD, 2.0) is Standing.CLEAR
 
 
-def test_neighbours_of_a_request_that_ends_targets_are_not_condemned_with_it():
-    """Two of them sat beside it twice, one three times; it alone ended a fourth target."""
+def test_innocent_requests_on_ended_targets_are_not_condemned():
+    """The innocent requests share two and three of the four ended targets with the suspect."""
     book = SuspectBook()
     lose(book, 1, BAD, GOOD, OTHER)
     lose(book, 2, BAD, GOOD, OTHER)
@@ -125,7 +125,7 @@
     assert standing(book, OTHER) is Standing.CLEAR
 
 
-def test_of_two_that_were_always_lost_together_none_is_condemned_but_each_runs_alone():
+def test_requests_always_lost_together_run_alone():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD, GOOD)
@@ -135,7 +135,7 @@
     assert standing(book, GOOD) is Standing.CLEAR
 
 
-def test_a_condemned_request_is_tried_again_after_a_while_and_one_end_condemns_it_anew():
+def test_condemned_request_is_tried_again_after_the_retention_time():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD)
@@ -145,7 +145,7 @@
     assert standing(book, BAD, later_s) is Standing.CLEAR
 
 
-def test_what_is_never_settled_is_forgotten_soon():
+def test_unsettled_loss_expires():
     book = SuspectBook()
     lose(book, 1, BAD, ended=False)
     assert standing(book, BAD, SETTLE_TIMEOUT_S + 0.1) is Standing.CLEAR
@@ -153,7 +153,7 @@
     assert book.checksum == 0
 
 
-def test_a_flood_of_distinct_requests_drops_those_of_which_least_is_known():
+def test_flood_of_requests_evicts_those_with_fewest_losses():
     book = SuspectBook()
     for number in range(3):
         lose(book, number, BAD)
@@ -163,17 +163,17 @@
     assert standing(book, BAD, 2.0) is Standing.CONDEMNED
 
 
-def test_each_condemnation_is_told_once():
-    book, told = SuspectBook(), []
-    book.on_condemned = told.append
+def test_condemnation_is_signalled_once():
+    book, signalled = SuspectBook(), []
+    book.on_condemned = signalled.append
     for number in range(5):
         lose(book, number, BAD)
-    assert [row.digest for row in told] == [BAD]
-    assert len(told[0].starts) == ENDS_TO_CONDEMN
+    assert [row.digest for row in signalled] == [BAD]
+    assert len(signalled[0].starts) == ENDS_TO_CONDEMN
 
 
 def events():
-    """What may happen to two requests on four targets: (kind, request, target)."""
+    """Return a strategy for events on two requests and four targets: (kind, request, target)."""
     kinds = st.sampled_from(["lost", "ended", "alive", "served"])
     return st.lists(st.tuples(kinds, st.sampled_from([BAD, GOOD]), st.integers(0, 3)), max_size=12)
 
@@ -191,8 +191,8 @@
             book.note_served(digest, now_s)
 
 
-def test_what_boxes_compare_is_bounded_and_converges_beyond_the_bound():
-    """Two boxes know half each of more than is told at once; lost once, a request is left out."""
+def test_shared_losses_are_bounded_and_converge():
+    """Two boxes each have half of more losses than they share; requests lost once are left out."""
     rng, books = random.Random(5), [SuspectBook(), SuspectBook()]
     for index in range(2 * MAX_SHARED_LOSSES):
         for _ in range(1 + index % 3):
@@ -208,12 +208,12 @@
 
 
 @given(events(), events(), st.randoms(use_true_random=False))
-def test_boxes_that_merge_in_any_order_any_number_of_times_know_the_same(first, second, rng):
+def test_merge_is_commutative_and_idempotent(first, second, rng):
     books = [SuspectBook(), SuspectBook(), SuspectBook()]
     for book, happened in zip(books, (first, second), strict=False):
         for step, event in enumerate(happened):
             apply_to(book, event, 0.6 * step)
-    # Twice: what a box has seen of a target settles losses that it hears of.
+    # Two rounds: a box settles received losses by the ends of targets it has seen itself.
     for _ in range(2):
         notes = [loss for book in books for loss in book.losses()]
         for book in books:
@@ -225,7 +225,7 @@
         assert len({book.standing(digest, 8.0) for book in books}) == 1
 
 
-def test_three_boxes_that_saw_one_end_each_know_three_between_them():
+def test_losses_seen_by_different_boxes_add_up():
     books = [SuspectBook() for _ in range(3)]
     for number, book in enumerate(books):
         lose(book, number, BAD)
@@ -234,8 +234,8 @@
     assert {standing(book, BAD) for book in books} == {Standing.CONDEMNED}
 
 
-def test_ends_of_targets_for_reasons_of_their_own_condemn_nobody():
-    """A quarter of the engines end within seconds, twice; who is lost goes on elsewhere."""
+def test_unrelated_ends_of_targets_condemn_no_request():
+    """A quarter of the engines end within seconds, twice; most lost requests complete later."""
     rng, book, now_s = random.Random(3), SuspectBook(), 0.0
     for _round in range(2):
         for number in rng.sample(range(18), 5):
