--- a/gladedrum/scheduling/placements.py
+++ b/gladedrum/scheduling/placements.py
@@ -107,7 +107,7 @@
     now_s: float,
     load: Callable[[Candidate], float],
 ) -> Placement | None:
-    """Choose the least loaded engine; prompts that fit no single engine go by `fair_slack`."""
+    """Choose the least loaded engine; `fair_slack` places prompts that fit no engine."""
     whole = job.prompt_tokens + job.answer_tokens
     if whole > traits.memory_tokens:
         return credit.place(traits, candidates, job, now_s)
--- a/gladedrum/scheduling/policies/fair_slack.py
+++ b/gladedrum/scheduling/policies/fair_slack.py
@@ -19,25 +19,36 @@
 
 _CHOICES = 2
 """Number of targets that a short prompt asks for quotes, beside the one with its prefix."""
+
 _LONG_CHOICES = 12
 """Number of targets that a long prompt asks for quotes."""
+
 _LONG_SHARE = 0.8
 """Share of the targets that long prompts ask first."""
+
 _POOL_KEY = "long prompts"
+
 _LONG_MEMORY_SHARE = 0.85
 """Share of an engine's memory that long prompts may hold."""
+
 _SEGMENT_SHARE = 0.15
 """Preferred share of an engine's memory for a segment."""
+
 _BASE_TARGET_S = 0.64
 """Target time for the first token of an empty prompt, in seconds."""
+
 _TARGET_STRETCH = 20.0
 """Target time per second of reference prefill time."""
+
 _TARGET_TOKENS_PER_S = 10_000.0
 """Prefill speed of the reference engine."""
+
 _LONG_PREFILL_STEPS = 1.0
 """Steps of a long prefill that delay a short prompt beside it."""
+
 _PRIORITIES_PER_S = 100
 """Resolution of engine priorities, per second of the queue key."""
+
 _NEAR_DEADLINE_SHARE = 0.5
 """Share of its time that a request may wait before it blocks those behind it."""
 
--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -20,14 +20,29 @@
 __all__ = ["QueueLimits", "Reservation", "TargetQueue"]
 
 _SPEED_SMOOTHING = 0.02
+"""Weight of the newest sample in the moving average of the speed factor."""
+
 _TOKEN_SMOOTHING = 0.1
+"""Weight of the newest sample in the moving average of the time per output token."""
+
 _BUSY_STEP_FACTOR = 2.5
+"""Initial estimate of the time per output token, as a multiple of a step without prefill."""
+
 _MAX_PREFIXES = 2_048
-# Shorter samples are dominated by the step time and by message delays.
+"""Maximum number of prefix digests that are assumed to be in the engine's cache."""
+
 _MIN_SAMPLE_S = 0.2
+"""Shorter prefills are not used as samples: step time and message delays dominate them."""
+
 _SPEED_NOISE_FACTOR = 1.25
+"""Speed factors within this ratio of 1 are treated as 1."""
+
 _MAX_OVERTAKING_SHARE = 0.9
+"""Upper bound of the time share of overtaking requests, which keeps expected times finite."""
+
 _WORK_EPSILON_S = 1e-9
+"""Less engine time than this is rounding error and counts as none."""
+
 _MIN_SPEED_FACTOR, _MAX_SPEED_FACTOR = 0.5, 20.0
 
 
--- a/gladedrum/scheduling/rates.py
+++ b/gladedrum/scheduling/rates.py
@@ -123,7 +123,11 @@
     Examples
     --------
     >>> book = RateBook()
-    >>> book.take("t", 0, 2.0, 10.0), book.take("t", 0, 2.0, 10.5), book.take("t", 0, 2.0, 10.75)
+    >>> (
+    ...     book.take("t", 0, 2.0, 10.0),
+    ...     book.take("t", 0, 2.0, 10.5),
+    ...     book.take("t", 0, 2.0, 10.75),
+    ... )
     (0.5, 0.0, 0.25)
     """
 
@@ -166,7 +170,7 @@
         bucket = self._buckets.get(target)
         if bucket is None or 0 < bucket.born < born:
             bucket = self._buckets[target] = _Bucket(born, 0.0, now_s)
-        # A caller that does not know the start passes 0.
+        # A caller may know an earlier start of the target, or none (0).
         bucket.born = max(bucket.born, born)
         gained = per_s * max(0.0, now_s - bucket.filled_s)
         bucket.tokens, bucket.filled_s = min(_capacity(per_s), bucket.tokens + gained), now_s
