--- a/gladedrum/scheduling/tests/test_credit.py
+++ b/gladedrum/scheduling/tests/test_credit.py
@@ -45,19 +45,19 @@
 
 
 def test_short_prompt_leaves_idle_engine_to_long_prompts():
-    writing = candidate("writing", row("s1", 5_000, writing=True))
-    assert place(TRAITS, [candidate("idle"), writing], SHORT, 0.0).name == "writing"
+    busy = candidate("busy", row("s1", 5_000, writing=True))
+    assert place(TRAITS, [candidate("idle"), busy], SHORT, 0.0).name == "busy"
 
 
 def test_frequent_long_prompts_concentrate_short_prompts_on_fewer_engines():
     reads = LongReads()
     for at_s in range(6):
         reads.note(130_000, 3, float(at_s))
-    writing = candidate("writing", *(row(f"s{i}", 5_000, writing=True) for i in range(6)))
-    engines = [writing, *(candidate(f"e{i}", row(f"r{i}", 2_000, writing=True)) for i in range(4))]
-    assert place(TRAITS, engines, SHORT, 6.0).name != "writing"
-    assert place(TRAITS, engines, SHORT, 6.0, reads).name == "writing"
-    assert place(TRAITS, engines, SHORT, 200.0, reads).name != "writing"
+    busy = candidate("busy", *(row(f"s{i}", 5_000, writing=True) for i in range(6)))
+    engines = [busy, *(candidate(f"e{i}", row(f"r{i}", 2_000, writing=True)) for i in range(4))]
+    assert place(TRAITS, engines, SHORT, 6.0).name != "busy"
+    assert place(TRAITS, engines, SHORT, 6.0, reads).name == "busy"
+    assert place(TRAITS, engines, SHORT, 200.0, reads).name != "busy"
 
 
 def test_arrival_rate_counts_reads_beyond_the_pause_limit_and_decays():
