--- a/gladedrum/scheduling/credit.py
+++ b/gladedrum/scheduling/credit.py
@@ -232,8 +232,8 @@
 ) -> Placement | None:
     """Choose the engines for a request; None if no set of candidates has the memory for it.
 
-    `long_reads` holds the recent long prompts, from which the interference of later ones is
-    estimated. Of engines with equal cost, the first in `candidates` is taken.
+    `long_reads` holds the recent long prompts, from which the interference of later
+    ones is estimated. Of engines with equal cost, the first in `candidates` is taken.
     """
     shortlist = _shortlist(candidates, _engines_to_quote(traits, job))
     interference_loss = _exposure(traits, candidates, job, now_s, long_reads or LongReads())
