--- a/gladedrum/forward/__init__.py
+++ b/gladedrum/forward/__init__.py
@@ -1,7 +1,7 @@
-"""The life of a request that is forwarded by the operator's routes, and the box around it.
+"""Forwarding of requests by the operator's routes, and the box that does it.
 
-In come requests as `connections` read them; admission, tries and relaying end in one outcome. May
-import `beliefs`, `placing`, `connections` and `gossip`; they import nothing from here.
+Requests come from `connections`; admission, attempts and relaying lead to one outcome each. The
+package may import `beliefs`, `placing`, `connections` and `gossip`, which do not import it.
 """
 
 from .settings import *
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may be forwarded at all: its route, its key, its marks."""
+"""Admission of a request: its route, its API key, and what its headers ask for."""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -12,25 +12,25 @@
 __all__ = ["Admission", "Admitted"]
 
 KEY_MARGIN_S = 0.4
-"""How long before the bound on keys a configuration is too old to trust a key, in seconds:
-covers the way from the caller to this box."""
+"""Margin below `key_bound_s` at which keys are no longer trusted, in seconds: covers the time from
+the caller to this box."""
 
 NO_CONFIGURATION_RETRY_S = 0.5
-"""When a caller may come back to a box whose configuration is missing or too old, in seconds."""
+"""Retry-After of a box whose configuration is missing or too old, in seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that may be forwarded.
+    """An admitted request.
 
     Parameters
     ----------
     route : Route
-        Its route.
+        The route of the request.
     organisation : Organisation or None
-        Whose key came with it.
+        The owner of its API key, None for an anonymous request.
     marks : CallerMarks
-        What its headers say.
+        What its headers ask for.
     """
 
     route: Route
@@ -39,26 +39,24 @@
 
     @property
     def urgency(self) -> int:
-        """The rank that holds: the organisation's goes before the route's."""
+        """The rank of the organisation if it has one, else the rank of the route."""
         if self.organisation is not None and self.organisation.rank is not None:
             return self.organisation.rank
         return self.route.rank
 
 
 class Admission:
-    """Checks requests against the configuration in force.
+    """Checks requests against the current configuration.
 
     Parameters
     ----------
     configuration : ConfigurationKeeper
-        The configuration and its age.
+        Provides the configuration and its age.
     key_bound_s : float
-        After so long a key that was taken away must not work.
+        Time after which a revoked key must not work any more, in seconds.
     keys_expire : bool
-        Whether that holds while the configuration can't be read, too. If not, the last known keys
-        go on working: callers are served through an outage of the store, at the risk that a key
-        taken away meanwhile works until the store is back. Of a minute with an outage of 8 s, 12%
-        more of the worth is served (one run each way).
+        Whether keys are refused once the configuration is older than that. If not, the last known
+        keys keep working while the store is unreachable, revoked ones included.
     """
 
     def __init__(self, configuration: ConfigurationKeeper, key_bound_s: float, keys_expire: bool):
@@ -66,16 +64,16 @@
         self.set_key_bound(key_bound_s, keys_expire)
 
     def set_key_bound(self, key_bound_s: float, keys_expire: bool) -> None:
-        """Take over a changed bound."""
+        """Apply a changed bound; parameters as for the class."""
         self._key_bound_s = key_bound_s - KEY_MARGIN_S if keys_expire else float("inf")
 
     @property
     def keys_are_vouched_for(self) -> bool:
-        """Whether the configuration is young enough to trust its keys."""
+        """Whether the configuration is recent enough to trust its keys."""
         return self._configuration.age_s < self._key_bound_s
 
     def check(self, req: CallerRequest) -> Admitted | Failed | NotRun:
-        """Return the request's route and organisation, or why it isn't forwarded."""
+        """Return the route and organisation of a request, or why it is refused."""
         table = self._configuration.table
         if table is None:
             return NotRun("no configuration is known yet", NO_CONFIGURATION_RETRY_S)
@@ -83,7 +81,7 @@
         host = dict(req.headers).get(b"host", b"").decode("latin-1")
         route = table.find(host, req.target.decode("latin-1"))
         if route is None:
-            return self._unknown("no route leads there", HTTPStatus.NOT_FOUND)
+            return self._refuse_unknown("no route leads there", HTTPStatus.NOT_FOUND)
         if marks.key is None:
             if route.anonymous:
                 return Admitted(route, None, marks)
@@ -94,14 +92,14 @@
             return NotRun(reason, NO_CONFIGURATION_RETRY_S)
         organisation = table.organisations.get(marks.key)
         if organisation is None:
-            return self._unknown("the API key is not known", HTTPStatus.UNAUTHORIZED)
+            return self._refuse_unknown("the API key is not known", HTTPStatus.UNAUTHORIZED)
         return Admitted(route, organisation, marks)
 
-    def _unknown(self, reason: str, status: HTTPStatus) -> Failed | NotRun:
-        """Refuse what the configuration lacks: for good, or until it is known whether it is new.
+    def _refuse_unknown(self, reason: str, status: HTTPStatus) -> Failed | NotRun:
+        """Refuse a request whose route or key is not in the configuration.
 
-        Callers don't repeat what was refused for good, and another box may know a newer
-        configuration.
+        The refusal is final only if the configuration is known to be current. Callers do not
+        retry a final refusal, but another box may know a newer configuration.
         """
         if self._configuration.is_current:
             return Failed(reason, status)
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -1,4 +1,4 @@
-"""A forwarding box: its parts, put together and supervised."""
+"""A box that forwards requests: builds, connects and supervises its parts."""
 
 import logging
 import random
@@ -49,32 +49,34 @@
 
 __all__ = ["ForwardingBox"]
 
-READY_SHARE = 0.6
-"""Not ready when the configuration is older than this share of the bound on keys: callers are
-better served elsewhere before this box must refuse them."""
+READY_AGE_SHARE = 0.6
+"""Share of `key_bound_s` beyond which the age of the configuration makes the box not ready, so that
+callers go elsewhere before this box has to refuse their keys."""
 
 FAREWELL_S = 0.02
-"""From the first farewell to peers to the second, with which a box ends, in seconds: some ways of a
-datagram, and some times what a call to the store takes, which ends its entry. One datagram may be
-lost, or overtake what was sent before it."""
+"""Interval between the two farewells that a stopping box sends to its peers, in seconds. Datagrams
+can be lost or reordered; the interval covers several round trips and the store call that deletes
+the box's entry."""
 
 _log = logging.getLogger(__name__)
 
 
 class ForwardingBox:
-    """One box that forwards requests by the operator's routes.
+    """A box that forwards requests by the operator's routes.
 
     Parameters
     ----------
     reactor : reactor
-        Where sockets and timers live.
+        Provides sockets and timers.
     cfg : Settings
         All settings.
-    early : socket, optional
-        The callers' socket, if it listens already.
+    listening_socket : socket, optional
+        The socket for callers, if it is already listening.
     """
 
-    def __init__(self, reactor: IReactorTime, cfg: Settings, early: socket.socket | None = None):
+    def __init__(
+        self, reactor: IReactorTime, cfg: Settings, listening_socket: socket.socket | None = None
+    ):
         self._reactor = reactor
         self._settings = settings = forward_settings(cfg)
         self._rng = random.Random()
@@ -85,7 +87,7 @@
         self._operator_token = cfg.get(OPERATOR_TOKEN)
         self._pool = TargetPool(reactor)
         self._view = FleetView(self._traits_of)
-        self._view.on_reborn = self._target_reborn
+        self._view.on_reborn = self._target_restarted
         store = StoreClient(cfg.get(STORE), WebClient(reactor))
         self._beliefs = StoreBeliefs(
             reactor,
@@ -105,7 +107,7 @@
         )
         self._pool.gate = self._statements
         self._suspicion = Suspicion(reactor, self._view, self._targets, self._gossip)
-        # A fleet that starts for the first time has condemned nothing yet.
+        # At the first start of a fleet there are no condemned requests to learn.
         self._suspicion.is_informed = settings.waits_for_seeds
         self._record = CondemnedRecord(
             reactor, store, self._beliefs.registry, self._suspicion, self._is_reader
@@ -123,7 +125,7 @@
         self._callers = CallerFactory(
             reactor, self._beliefs.limits, self._handle, settings.keep_callers
         )
-        self._ports = self._make_ports(early)
+        self._ports = self._make_ports(listening_socket)
 
     @property
     def cannot_start(self) -> defer.Deferred[None]:
@@ -135,7 +137,7 @@
         self.metrics.store_era.set(era)
         self.metrics.store_returns.inc()
 
-    # The parts.
+    # Construction of the parts.
 
     def _make_gossip(self) -> gossip.GossipPort:
         circle, registry = self._beliefs.circle, self._beliefs.registry
@@ -144,7 +146,7 @@
             self._reactor,
             circle.audience,
             lambda: [entry.address for entry in registry.entries.values()],
-            self._take_gossip,
+            self._handle_gossip,
             self._settings.capacity,
         )
         registry.on_listed = port.say_hello
@@ -236,39 +238,39 @@
             rng=self._rng,
         )
 
-    def _make_ports(self, early: socket.socket | None) -> BoxPorts:
+    def _make_ports(self, listening_socket: socket.socket | None) -> BoxPorts:
         return BoxPorts(
             self._reactor,
             lambda: self._settings,
-            early,
+            listening_socket,
             self._callers,
             self._gossip,
             self._make_pages,
             lambda: self._beliefs.is_informed,
         )
 
-    # What the process calls.
+    # Called by the process.
 
     async def run(self) -> None:
         """Run all parts until cancelled."""
         _log.info("started", extra={"version": __version__, "start": self.name})
-        await self._tree().run()
+        await self._make_supervisor().run()
 
     def drain(self) -> defer.Deferred[None]:
-        """Take no new work; fires when the box may stop."""
+        """Start a planned stop; the deferred fires when the process may end."""
         _log.info("draining", extra={"in_flight": len(self._in_flight)})
         self._draining = True
         return start(self._drain())
 
     def reload(self, cfg: Settings) -> None:
-        """Take over changed settings; addresses take a restart."""
+        """Apply changed settings; changed addresses take effect at the next start."""
         before, now = self._settings, forward_settings(cfg)
         changed = [name for name in now._fields if getattr(now, name) != getattr(before, name)]
         if not changed:
             return
         _log.info("settings in force", extra={"changed": changed})
         if {"callers", "ready", "peers"} & set(changed):
-            _log.warning("an address has changed; it counts from the next start")
+            _log.warning("an address has changed; it takes effect at the next start")
         self._settings = now
         self._ctx.admission.set_key_bound(now.key_bound_s, now.keys_expire)
         self._beliefs.set_bounds(now)
@@ -278,26 +280,26 @@
         self._callers.keep = now.keep_callers
 
     def not_ready(self) -> list[str]:
-        """Return the reasons why callers should not be sent here."""
+        """Return why callers should not be sent to this box, empty if it is ready."""
         settings = self._settings
-        most_s = READY_SHARE * settings.key_bound_s if settings.keys_expire else float("inf")
+        most_s = READY_AGE_SHARE * settings.key_bound_s if settings.keys_expire else float("inf")
         reasons = {
             "the box is draining": self._draining,
             "no configuration is known": self._configuration.table is None,
             "the configuration is old": self._configuration.age_s > most_s,
             "the list of targets has not been read": not self._targets.entries,
-            "callers are not listened for": not self._ports.callers_are_listened_for,
+            "callers are not listened for": not self._ports.accepts_callers,
         }
         return [reason for reason, holds in reasons.items() if holds]
 
     async def _drain(self) -> None:
         if not self._beliefs.circle.is_whole_fleet:
-            # Another comes into the circle, and gets to know all work while this one serves on.
+            # A box joins the coordinator group and learns all work while this one still serves.
             self._leave()
         await drain_callers(
             self._reactor, self._callers, self._ports.close_callers, self._settings.stop_s
         )
-        # In a small fleet not before: who starts meanwhile finds this box by its entry only.
+        # A box that starts meanwhile in a small fleet finds this one only by its entry.
         self._leave()
         self._gossip.say_farewell()
         await sleep(self._reactor, FAREWELL_S)
@@ -305,9 +307,9 @@
         _log.info("drained", extra={"in_flight": len(self._in_flight)})
 
     def _leave(self) -> None:
-        start(self._beliefs.registry.leave()).addErrback(_log_failure)
+        start(self._beliefs.registry.leave()).addErrback(_log_task_failure)
 
-    def _tree(self) -> Supervisor:
+    def _make_supervisor(self) -> Supervisor:
         children = [
             self._ports.pages_child(),
             self._ports.gossip_child(),
@@ -333,7 +335,7 @@
         return task
 
     def _request_failed(self, failure, caller: CallerConnection) -> None:
-        _log.error("request's task failed", extra={"reason": failure.getTraceback()})
+        _log.error("request task failed", extra={"reason": failure.getTraceback()})
         caller.abort_answer()
 
     def _request_ended(self, _result: object, task: RequestTask) -> None:
@@ -356,7 +358,7 @@
     def _note_listed(self, entry: TargetEntry) -> None:
         self._view.note_born(entry.name, entry.born, self._reactor.seconds())
 
-    def _target_reborn(self, name: str) -> None:
+    def _target_restarted(self, name: str) -> None:
         self._targets.note_start(name, self._view.state(name).born)
         entry = self._targets.entries.get(name)
         if entry is not None:
@@ -364,18 +366,18 @@
         for task in tuple(self._in_flight):
             task.target_reborn(name)
 
-    def _take_gossip(self, told: Gossip, address: tuple[str, int]) -> None:
-        if gossip.is_farewell(told):
-            self._beliefs.registry.note_ended(told.box, address)
+    def _handle_gossip(self, message: Gossip, address: tuple[str, int]) -> None:
+        if gossip.is_farewell(message):
+            self._beliefs.registry.note_ended(message.box, address)
             return
-        self._beliefs.registry.note_heard(told.box, address, told.capacity)
-        self._view.take(told, self._targets.entries.keys(), self._reactor.seconds())
-        self._placer.take(told, address)
-        self._vouching.take(told, address)
-        self._repeats.take_told(told, address)
-        self._suspicion.take(told)
-        self._rates.take(told, address)
-        self._statements.take(told)
+        self._beliefs.registry.note_heard(message.box, address, message.capacity)
+        self._view.take(message, self._targets.entries.keys(), self._reactor.seconds())
+        self._placer.take(message, address)
+        self._vouching.take(message, address)
+        self._repeats.take_told(message, address)
+        self._suspicion.take(message)
+        self._rates.take(message, address)
+        self._statements.take(message)
 
     # Pages.
 
@@ -391,7 +393,7 @@
         )
 
     def _make_table_site(self) -> "TableSite":
-        # Imported on first use: its library takes a fifth of a start.
+        # Imported on first use, since loading its library delays the start of the box.
         from ..table.site import TableSite
 
         beliefs = self._beliefs
@@ -404,5 +406,5 @@
         return [TableState(box=self.name, revision=table.table.revision, age_s=table.age_s)]
 
 
-def _log_failure(failure) -> None:
+def _log_task_failure(failure) -> None:
     _log.error("task failed", extra={"reason": failure.getTraceback()})
--- a/gladedrum/forward/caller_answer.py
+++ b/gladedrum/forward/caller_answer.py
@@ -1,4 +1,4 @@
-"""The answer to one request, as it goes out to its caller over all tries."""
+"""The answer to one request, as sent to its caller by whichever attempt delivers it."""
 
 from ..connections.caller_conn import CallerConnection
 from ..connections.events import Event
@@ -10,21 +10,21 @@
 
 
 class CallerAnswer:
-    """Writes at most one answer to the caller, whatever the tries do.
+    """Writes at most one answer to the caller, whatever the number of attempts.
 
     Parameters
     ----------
     req : CallerRequest
         The request.
     conn : CallerConnection
-        Where the answer goes.
+        The caller's connection.
 
     Attributes
     ----------
     begun : bool
-        Whether the head has gone out.
+        Whether the head was sent.
     last_event_id : bytes or None
-        The id of the last event of a stream that has gone out.
+        The id of the last event sent, None before the first event with an id.
     """
 
     def __init__(self, req: CallerRequest, conn: CallerConnection):
@@ -33,10 +33,10 @@
         self.begun = False
         self.last_event_id: bytes | None = None
 
-    # A target's answer.
+    # Answers of targets.
 
     def begin(self, head: AnswerHead) -> None:
-        """Send the head of a target's answer, unless one has gone out."""
+        """Send the head of a target's answer, unless a head was sent before."""
         if not self.begun:
             self.begun = True
             self._conn.send_head(head.status, answer_headers(head.headers))
@@ -46,7 +46,7 @@
         self._conn.send_data(data)
 
     def send_event(self, event: Event) -> None:
-        """Send an event of a stream and note its id."""
+        """Send an event of a stream and record its id."""
         self._conn.send_data(event.raw)
         self.last_event_id = event.event_id or self.last_event_id
 
@@ -54,16 +54,16 @@
         """Complete the answer."""
         self._conn.end_answer()
 
-    # Answers of the box's own.
+    # Answers of this box.
 
     def refuse(self, outcome: NotRun | Failed) -> Outcome:
-        """Answer that the request has not run; return the outcome."""
+        """Answer that the request was not run or is invalid; return the outcome."""
         retry_after_s = outcome.retry_after_s if isinstance(outcome, NotRun) else None
         self._answer(http_status(outcome), outcome.reason, retry_after_s)
         return outcome
 
     def fail(self, outcome: Unknown) -> Outcome:
-        """Answer that the request may have run, or break a begun answer off; return the outcome."""
+        """Answer that the request may have run, or abort a begun answer; return the outcome."""
         if self.begun:
             self._conn.abort_answer()
         else:
@@ -81,5 +81,5 @@
 
 
 def request_id_of(req: CallerRequest) -> str:
-    """Return the id that a caller gave its request; empty if it gave none."""
+    """Return the id that the caller gave its request, empty if there is none."""
     return caller_marks(req.headers).request_id
--- a/gladedrum/forward/condemned_page.py
+++ b/gladedrum/forward/condemned_page.py
@@ -1,4 +1,7 @@
-"""The operators' page of condemned requests: which, why, since when; and one can be lifted."""
+"""The operators' page of condemned requests, which lists them and lifts single ones.
+
+A request is condemned if it is known to crash the targets that run it.
+"""
 
 import json
 from http import HTTPStatus
@@ -14,14 +17,14 @@
 
 
 class CondemnedPage(Resource):
-    """``GET``: the condemned requests. ``DELETE`` of one, by its digest, lifts it in the fleet.
+    """``GET`` lists the condemned requests; ``DELETE`` of a digest lifts one in the whole fleet.
 
     Parameters
     ----------
     suspicion : Suspicion
-        Knows them.
+        Keeps the condemned requests.
     token : str
-        What a lift must carry as ``Authorization: Bearer``; empty allows none.
+        Token that a ``DELETE`` must carry as ``Authorization: Bearer``; empty forbids lifting.
     """
 
     isLeaf = True
@@ -32,12 +35,12 @@
         self._token = token
 
     def render_GET(self, request: Request) -> bytes:
-        """Show the condemned requests."""
+        """List the condemned requests."""
         rows = [_as_json(row) for row in self._suspicion.condemned()]
         return _answer(request, HTTPStatus.OK, {"condemned": rows})
 
     def render_DELETE(self, request: Request) -> bytes:
-        """Lift one."""
+        """Lift a condemned request."""
         if not bears_token(request.getHeader("authorization"), self._token):
             reason = "a lift must carry the operator's token of the box's settings"
             return _answer(request, HTTPStatus.UNAUTHORIZED, {"reason": reason})
--- a/gladedrum/forward/context.py
+++ b/gladedrum/forward/context.py
@@ -1,4 +1,4 @@
-"""What all forwarded requests of a box share."""
+"""State and services shared by all forwarded requests of a box."""
 
 import random
 from collections.abc import Callable
@@ -24,34 +24,34 @@
 
 @dataclass
 class ForwardContext:
-    """What all requests of a box share.
+    """State and services shared by all forwarded requests of a box.
 
     Parameters
     ----------
     box : str
-        This start of this box.
+        The box's name, unique to this start of its process.
+    data_hall : str
+        The data hall of the box.
     clock : IReactorTime
         A monotonic clock.
-    data_hall : str
-        Where it stands.
     admission, targets, chooser, placer, view, pool, port : various
-        The box's parts.
+        Parts of the box, see their classes.
     repeats : RepeatPool
-        The repeats that may be sent.
+        The retry budget.
     suspicion : Suspicion
-        Which requests may end targets.
+        Knows which requests are suspected of crashing targets.
     rates : TargetRates
-        The rates that targets name.
+        The request rates that targets state.
     free_bound_s, reservation_most_s : float
         See `ForwardSettings`.
     metrics : ForwardMetrics
-        Counters and histograms.
+        The box's metrics.
     service_of : callable
-        Returns what is known of a service, by its name.
+        Returns a service by name.
     policy_of : callable
-        Returns the policy that the table names for an organisation and a route.
+        Returns the name of the placement policy for an organisation and a route.
     rng : random.Random
-        For the shares of services.
+        Random numbers, for choosing among a route's services and for jitter.
     """
 
     box: str
--- a/gladedrum/forward/drain.py
+++ b/gladedrum/forward/drain.py
@@ -1,4 +1,4 @@
-"""The planned stop of a box: requests at work are answered, then the connections are closed."""
+"""The planned stop of a box: finish the requests in flight, then close the connections."""
 
 import logging
 from collections.abc import Callable
@@ -12,9 +12,9 @@
 __all__ = ["drain_callers"]
 
 ACCEPT_ON_S = 2.6
-"""How long a stopping box still takes new connections, in seconds: the balancer asks once a
-second and needs two misses. It may go on sending some if it has too few other boxes, and what is
-taken later might not be answered before the process is killed."""
+"""How long a stopping box still accepts connections, in seconds: the balancer polls once a second
+and removes a box after two failures. It may keep using this box if few others are left, but
+requests accepted later might not finish before the process is killed."""
 
 STOP_MARGIN_S = 0.6
 """How long before the process would be killed a planned stop ends, in seconds."""
@@ -25,23 +25,33 @@
 async def drain_callers(
     clock: IReactorTime, callers: CallerFactory, stop_listening: Callable[[], None], stop_s: float
 ) -> None:
-    """Return when no caller's connection is open, or shortly before `stop_s` is over.
-
-    A connection counts as open until its last bytes have been written: the process must not end
-    before.
+    """Wait until all connections of callers are closed, or until shortly before `stop_s` is over.
+
+    A connection counts as open until its last bytes are written.
+
+    Parameters
+    ----------
+    clock : IReactorTime
+        A monotonic clock.
+    callers : CallerFactory
+        The connections of callers.
+    stop_listening : callable
+        Stops accepting connections.
+    stop_s : float
+        Time from now until the process is killed, in seconds.
     """
-    ends_s = clock.seconds() + stop_s - STOP_MARGIN_S
+    deadline_s = clock.seconds() + stop_s - STOP_MARGIN_S
     callers.draining = True
-    await sleep(clock, min(ACCEPT_ON_S, ends_s - clock.seconds()))
+    await sleep(clock, min(ACCEPT_ON_S, deadline_s - clock.seconds()))
     stop_listening()
     callers.close_idle()
     if callers.connections:
         closed = callers.when_all_closed()
-        left_s = max(0.0, ends_s - clock.seconds())
-        closed.addTimeout(left_s, clock, onTimeoutCancel=_note_late)
+        left_s = max(0.0, deadline_s - clock.seconds())
+        closed.addTimeout(left_s, clock, onTimeoutCancel=_log_open_connections)
         await closed
 
 
-def _note_late(_result: object, _timeout_s: float) -> defer.Deferred[None] | None:
+def _log_open_connections(_result: object, _timeout_s: float) -> defer.Deferred[None] | None:
     _log.warning("stopping with open connections")
     return None
--- a/gladedrum/forward/event_times.py
+++ b/gladedrum/forward/event_times.py
@@ -1,4 +1,4 @@
-"""When a request was offered to a target, and when the parts of its answer went out."""
+"""When a request was sent to a target, and when the parts of its answer were sent to the caller."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class EventTimes:
-    """The times that decide whether a request was in time.
+    """The times that tell whether a request met its objectives.
 
     Parameters
     ----------
@@ -17,9 +17,9 @@
     Attributes
     ----------
     offered_s : float or None
-        From the arrival to the first offer to a target, in seconds; None before.
+        Time from the arrival to the first attempt, in seconds; None before.
     first_s : float or None
-        From the arrival to the first part, in seconds; None before.
+        Time from the arrival to the first part of the answer, in seconds; None before.
     longest_pause_s : float
         The longest time between two parts, in seconds.
     longest_began_s : float
@@ -28,7 +28,7 @@
     Examples
     --------
     >>> times = EventTimes(10.0)
-    >>> times.note(10.2), times.note(10.3), times.note(11.0)
+    >>> times.note_part(10.2), times.note_part(10.3), times.note_part(11.0)
     (True, False, False)
     >>> round(times.first_s, 3), round(times.longest_pause_s, 3), round(times.longest_began_s, 3)
     (0.2, 0.7, 0.3)
@@ -42,17 +42,17 @@
     _last_s: float = 0.0
 
     @property
-    def heard_s(self) -> float:
-        """When the caller was last sent a part, or asked, by the monotonic clock."""
+    def last_activity_s(self) -> float:
+        """When the last part was sent, or the request arrived, by the monotonic clock."""
         return self.arrived_s if self.first_s is None else self._last_s
 
-    def note_offer(self, now_s: float) -> None:
-        """Note that the request goes to a target now."""
+    def note_send(self, now_s: float) -> None:
+        """Record that the request is sent to a target now."""
         if self.offered_s is None:
             self.offered_s = now_s - self.arrived_s
 
-    def note(self, now_s: float) -> bool:
-        """Note that a part goes out now; return whether it is the first."""
+    def note_part(self, now_s: float) -> bool:
+        """Record that a part is sent to the caller now; return whether it is the first."""
         first = self.first_s is None
         if first:
             self.first_s = now_s - self.arrived_s
--- a/gladedrum/forward/hedging.py
+++ b/gladedrum/forward/hedging.py
@@ -1,11 +1,8 @@
-"""Hedged tries: a silent target keeps its request until another one has gone on with it.
+"""Hedged attempts: a silent target keeps its request until another target has made progress.
 
-Silence alone never ends a try. It begins a search for a further target, and only when that has a
-place, a repeat and memory is the request sent there too. Whichever of the tries sends something new
-first goes on, and the others are ended then; a try that fails is ended alone.
-
-When silent tries were ended first, 4 and 5 of some 30 streams that paused while their engines read
-one long prompt were cut for want of a substitute, in two runs; with the hedge none was in either.
+Silence alone never ends an attempt. It starts a search for a further target; the request is sent
+there only once the hedge has a placement, a retry grant and its memory reservations. The first
+attempt that delivers something new wins and the others are ended. A failed attempt ends alone.
 """
 
 import logging
@@ -18,154 +15,154 @@
 from ..connections.messages import CallerGone, Mailbox, Message, SearchEnded, TimeIsUp
 from ..utils import start
 from .relaying import CallerGoneError
-from .tries import Try
+from .tries import Attempt
 from .try_ends import Done, Overtaken, Refused, TryEnd
 
 __all__ = ["HedgedRequest", "HedgedTries"]
 
 SEARCH_AGAIN_S = 0.25
-"""After how long another target is looked for again if none could be had, in seconds: some passes
-of an engine, and a few looks before a caller leaves."""
+"""Pause after an unsuccessful search for a hedge, in seconds: some scheduling passes of an engine,
+and short enough for several searches before a caller leaves."""
 
 _log = logging.getLogger(__name__)
 
 
 class HedgedRequest(Interface):
-    """What the tries under way ask of their request's task."""
+    """What `HedgedTries` needs from the task of its request."""
 
-    def may_hedge(self, under_way: int) -> bool:
-        """Whether another target may run the request beside so many tries."""
+    def may_hedge(self, in_progress: int) -> bool:
+        """Whether the request may run on one more target beside its attempts in progress."""
 
-    async def search_hedge(self, silent: Try) -> Try | TryEnd:
-        """Prepare a hedge of a silent try; return it, or why there is none."""
+    async def search_hedge(self, silent: Attempt) -> Attempt | TryEnd:
+        """Prepare a hedge of a silent attempt; return it, or why there is none."""
 
-    def send_hedge(self, prepared: Try) -> None:
-        """Send what the search has prepared."""
+    def send_hedge(self, prepared: Attempt) -> None:
+        """Send a hedge that was prepared by `search_hedge`."""
 
-    def inquire(self, silent: Try) -> None:
-        """Have a silent try's engine asked whether it still runs the request."""
+    def check_report(self, silent: Attempt) -> None:
+        """Check with a report of the engine whether a silent attempt still runs there."""
 
-    def is_explained(self, silent: Try) -> bool:
-        """Whether work that is known explains that a try's target is silent."""
+    def is_silence_explained(self, silent: Attempt) -> bool:
+        """Whether known work of the target explains the silence of an attempt."""
 
-    def try_ended(self, ended: Try, end: TryEnd) -> None:
-        """Take a try that has ended, and how."""
+    def attempt_ended(self, ended: Attempt, end: TryEnd) -> None:
+        """Handle the end of an attempt."""
 
     def time_up(self) -> Done:
-        """Answer that the request's time is up; return how it ended."""
+        """Fail the request because its time is up; return how it ended."""
 
 
 @dataclass
 class HedgedTries:
-    """The tries of a request that are under way, until one is done or all have ended.
+    """The attempts of a request in progress, until one succeeds or all have ended.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
-    mail : Mailbox
-        Where the messages of the caller's and the targets' connections come.
+    mailbox : Mailbox
+        Receives the messages of the caller's and the targets' connections.
     until_s : float
-        When the request's time is up, by the clock.
-    first : Try
-        The try that was sent first.
+        When the request times out, by the monotonic clock.
+    first : Attempt
+        The first attempt, already sent.
     request : HedgedRequest
-        The request's task.
+        The task of the request.
     """
 
     clock: IReactorTime
-    mail: Mailbox
+    mailbox: Mailbox
     until_s: float
-    first: Try
+    first: Attempt
     request: HedgedRequest
-    _tries: list[Try] = field(default_factory=list, init=False)
+    _tries: list[Attempt] = field(default_factory=list, init=False)
     _searching: bool = field(default=False, init=False)
-    _wanted: bool = field(default=False, init=False)
-    _found: Try | TryEnd | None = field(default=None, init=False)
+    _hedge_wanted: bool = field(default=False, init=False)
+    _found: Attempt | TryEnd | None = field(default=None, init=False)
     _last_end: TryEnd | None = field(default=None, init=False)
-    _reading: bool = field(default=True, init=False)
+    _caller_reads: bool = field(default=True, init=False)
 
     def __post_init__(self) -> None:
         self._tries.append(self.first)
 
     def set_reading(self, on: bool) -> None:
-        """Note that the caller is too slow for the answer, or again fast enough.
+        """Pause or resume the silence checks, as the caller stops or resumes reading.
 
-        What a target sends while it is not read is no silence of its own.
+        Targets are not read while the caller is too slow, so their silence means nothing then.
         """
-        self._reading = on
-        self._wanted = self._wanted and on
-        self.mail.put(TimeIsUp())
+        self._caller_reads = on
+        self._hedge_wanted = self._hedge_wanted and on
+        self.mailbox.put(TimeIsUp())
 
     def target_reborn(self, name: str) -> None:
-        """Have a hedge sought at once for what ran on an earlier start of a target."""
+        """Search for a hedge at once if an attempt ran on a target that has restarted."""
         now_s = self.clock.seconds()
-        lost = [try_ for try_ in self._tries if try_.note_reborn(name, now_s)]
-        for try_ in lost:
-            try_.relay.quiet_until_s = min(try_.relay.quiet_until_s, now_s)
+        lost = [attempt for attempt in self._tries if attempt.note_restart(name, now_s)]
+        for attempt in lost:
+            attempt.relay.next_check_s = min(attempt.relay.next_check_s, now_s)
         if lost:
-            self.mail.put(TimeIsUp())
+            self.mailbox.put(TimeIsUp())
 
     async def run(self) -> TryEnd:
-        """Return how the last try ended. Raises if the caller has left."""
+        """Return how the last attempt ended; raises `CallerGoneError` if the caller has left."""
         end = None
         while end is None:
-            message = await self.mail.get(min(self.until_s, self._look_s()))
-            end = self._take(message)
+            message = await self.mailbox.get(min(self.until_s, self._look_s()))
+            end = self._handle(message)
         return end
 
-    def _take(self, message: Message) -> TryEnd | None:
+    def _handle(self, message: Message) -> TryEnd | None:
         match message:
             case CallerGone():
                 raise CallerGoneError
             case TimeIsUp():
                 return self._look(self.clock.seconds())
             case SearchEnded():
-                return self._take_found()
+                return self._handle_search_result()
             case _:
-                return self._take_answer(message)
+                return self._handle_answer(message)
 
-    # Messages of the targets.
+    # Messages of the targets' connections.
 
-    def _take_answer(self, message: Message) -> TryEnd | None:
-        try_ = next((t for t in self._tries if t.exchange.attempt == message.attempt), None)
-        if try_ is None:
+    def _handle_answer(self, message: Message) -> TryEnd | None:
+        attempt = next((t for t in self._tries if t.exchange.attempt == message.attempt), None)
+        if attempt is None:
             return None
-        try_.relay.went_on = False
-        end = try_.relay.take(message)
-        if try_.relay.went_on:
-            self._overtake(try_)
-        return None if end is None else self._end(try_, end)
-
-    def _overtake(self, ahead: Try) -> None:
-        """End the other tries: this one has gone on."""
-        self._wanted = False
-        before = self._tries.index(ahead)
-        for index, try_ in enumerate(self._tries):
-            if try_ is not ahead:
-                failed = index < before and not try_.silence_is_explained
-                self.request.try_ended(try_, Overtaken(failed))
-        self._tries = [ahead]
-
-    def _end(self, try_: Try, end: TryEnd) -> TryEnd | None:
-        """Note that a try has ended; return the end if nothing is left to wait for."""
-        self._tries.remove(try_)
-        self.request.try_ended(try_, end)
-        if isinstance(end, Done) or try_.relay.keeps_answer:
+        attempt.relay.made_progress = False
+        end = attempt.relay.handle(message)
+        if attempt.relay.made_progress:
+            self._cancel_others(attempt)
+        return None if end is None else self._end(attempt, end)
+
+    def _cancel_others(self, winner: Attempt) -> None:
+        """End all attempts except the one that has made progress."""
+        self._hedge_wanted = False
+        before = self._tries.index(winner)
+        for index, attempt in enumerate(self._tries):
+            if attempt is not winner:
+                failed = index < before and not attempt.silence_is_explained
+                self.request.attempt_ended(attempt, Overtaken(failed))
+        self._tries = [winner]
+
+    def _end(self, attempt: Attempt, end: TryEnd) -> TryEnd | None:
+        """Remove an ended attempt; return its end if there is nothing left to wait for."""
+        self._tries.remove(attempt)
+        self.request.attempt_ended(attempt, end)
+        if isinstance(end, Done) or attempt.relay.is_unresumable:
             return end
         self._last_end = end
-        self._leave_alone()
+        self._postpone_search()
         return None if self._tries or self._searching else end
 
     # Silence.
 
     def _look_s(self) -> float:
-        """Return when the newest try is to be looked at if it stays silent."""
-        if not self._tries or self._searching or not self._reading:
+        """Return when the newest attempt is due for a silence check, by the monotonic clock."""
+        if not self._tries or self._searching or not self._caller_reads:
             return float("inf")
         if not self.request.may_hedge(len(self._tries)):
             return float("inf")
-        return self._tries[-1].relay.quiet_until_s
+        return self._tries[-1].relay.next_check_s
 
     def _look(self, now_s: float) -> TryEnd | None:
         if now_s >= self.until_s:
@@ -174,36 +171,36 @@
             return None
         silent = self._tries[-1]
         if not silent.relay.calls_for_hedge(now_s):
-            self.request.inquire(silent)
+            self.request.check_report(silent)
         else:
-            self._searching = self._wanted = True
-            silent.silence_is_explained |= self.request.is_explained(silent)
+            self._searching = self._hedge_wanted = True
+            silent.silence_is_explained |= self.request.is_silence_explained(silent)
             searching = start(self.request.search_hedge(silent))
-            searching.addErrback(_note_fault).addCallback(self._search_ended)
+            searching.addErrback(_log_search_failure).addCallback(self._search_ended)
         return None
 
-    def _search_ended(self, found: Try | TryEnd) -> None:
+    def _search_ended(self, found: Attempt | TryEnd) -> None:
         self._found = found
-        self.mail.put(SearchEnded())
+        self.mailbox.put(SearchEnded())
 
-    def _take_found(self) -> TryEnd | None:
-        """Send what was found, unless a target has gone on meanwhile."""
+    def _handle_search_result(self) -> TryEnd | None:
+        """Send the hedge that was found, unless an attempt has made progress meanwhile."""
         found, self._found, self._searching = self._found, None, False
-        if isinstance(found, Try):
-            if self._wanted or not self._tries:
+        if isinstance(found, Attempt):
+            if self._hedge_wanted or not self._tries:
                 self.request.send_hedge(found)
                 self._tries.append(found)
                 return None
             found.end(gossip.WITHDRAWN)
-        self._leave_alone()
+        self._postpone_search()
         return None if self._tries else self._last_end
 
-    def _leave_alone(self) -> None:
-        """Leave the newest try alone for a while before another target is looked for again."""
+    def _postpone_search(self) -> None:
+        """Delay the next silence check of the newest attempt, and so the next search."""
         if self._tries:
-            self._tries[-1].relay.leave_alone(SEARCH_AGAIN_S)
+            self._tries[-1].relay.postpone_check(SEARCH_AGAIN_S)
 
 
-def _note_fault(failure) -> Refused:
+def _log_search_failure(failure) -> Refused:
     _log.error("search for a hedge failed", extra={"reason": failure.getTraceback()})
     return Refused("a fault of this box", at_target=False)
--- a/gladedrum/forward/identity.py
+++ b/gladedrum/forward/identity.py
@@ -1,4 +1,4 @@
-"""What tells whether two attempts of callers are the same request."""
+"""The digest by which repeats of the same request are recognised."""
 
 import hashlib
 
@@ -7,16 +7,14 @@
 __all__ = ["DIGEST_BYTES", "request_digest"]
 
 DIGEST_BYTES = 16
-"""Length of a digest, in bytes: a caller that wants two requests alike has to try 2**64 of them."""
+"""Length of a digest, in bytes; finding two requests with equal digests takes about 2**64 tries."""
 
 
 def request_digest(req: CallerRequest, organisation: str) -> bytes:
-    """Return what stands for a request's content and whose it is.
+    """Return the digest of a request's content and organisation.
 
-    Attempts differ in their ids and in headers such as the time that is left. The lengths keep the
-    parts apart, so that no caller can shift bytes from one part to the next. SHA-256 takes 20 us
-    for 20 kB and 3.7 ms for 4 MB of body, BLAKE2b three times as long (one core with SHA
-    extensions).
+    Leaves out headers that differ between repeats, such as the request id and the time left. Each
+    part is preceded by its length, so that bytes cannot be moved from one part to the next.
 
     Parameters
     ----------
--- a/gladedrum/forward/life.py
+++ b/gladedrum/forward/life.py
@@ -1,7 +1,7 @@
-"""The life of a forwarded request: admission, tries, retries, one outcome.
+"""The task of a forwarded request: admission, attempts, retries, and one outcome.
 
-Each request is one task. It gets messages from its caller's connection and from the connection
-to its target, and matches on them. It alone writes the answer.
+Each request is one task. It receives messages from the caller's connection and from the
+connections to targets, and is the only writer of the answer.
 """
 
 import logging
@@ -29,9 +29,9 @@
 from .event_times import EventTimes
 from .hedging import HedgedTries
 from .identity import request_digest
-from .relaying import CallerGoneError, caller_patience_s
-from .request_log import log_no_hedge, log_outcome, log_try_end
-from .tries import Forwarded, PlaceBounds, Try, TryMaker
+from .relaying import CallerGoneError, caller_timeout_s
+from .request_log import log_attempt_end, log_no_hedge, log_outcome
+from .tries import Attempt, ForwardedRequest, PlacementBounds, TryMaker
 from .try_ends import (
     NOT_RUN_STATUSES,
     AllLeave,
@@ -48,97 +48,98 @@
 
 __all__ = ["RequestTask", "start_request"]
 
-FULL_PAUSE_S = 0.06
-"""Pause before a request that no target took is offered again, in seconds."""
+NO_PLACE_PAUSE_S = 0.06
+"""Pause before the request is placed again after no target had room, in seconds."""
 
 RETRY_AFTER_S = 0.25
-"""When a caller may come back after a refusal, in seconds: a few passes of an engine."""
+"""Default Retry-After of a refusal, in seconds: a few scheduling passes of an engine."""
 
-WAIT_SHARE = 0.125
-"""A request for which there is no place is refused after this share of its objective: soon enough
-for its caller to be served in time elsewhere, and not held for nothing."""
+MAX_WAIT_SHARE = 0.125
+"""A request without a placement is refused after this share of its objective, so that its caller
+can still be served in time by another box."""
 
-COME_BACK_SPREAD = 1.5
-"""Callers that no target takes come back within this many times the wait for the next place."""
+RETRY_AFTER_SPREAD = 1.5
+"""Upper end of the random factor on the Retry-After of callers that no target takes now."""
 
-MOST_WITHHELD = 3
-"""The most tries that are held back at the gate before a request is refused."""
+MAX_WITHHELD = 3
+"""Maximum number of attempts withheld before they are sent; then the request is refused."""
 
 MOST_OFFERS = 6
-"""The most targets that a request is offered to, refusals included."""
+"""Maximum number of attempts per request, refused ones included."""
 
-FRESH_REPORT_S = 0.9
-"""A report that a box has heard is fresh for so long, in seconds: two pauses between reports."""
+FRESH_REPORT_AGE_S = 0.9
+"""Maximum age of a report that is used without asking the engine for a new one, in seconds: two
+intervals between reports."""
 
-LONGEST_S = 600.0
-"""How long a request may take if neither its caller nor its route says, in seconds."""
+DEFAULT_TIME_LIMIT_S = 600.0
+"""Time limit of a request whose caller names none, in seconds; the route's limit holds as well."""
 
 _log = logging.getLogger(__name__)
 
 
 class RequestTask:
-    """One request, from its arrival to its outcome.
+    """Serves one request, from its arrival to its outcome.
 
     Parameters
     ----------
     ctx : ForwardContext
-        What all requests share.
+        State shared by all requests.
     req : CallerRequest
         The request.
     caller : CallerConnection
-        Where the answer goes.
+        The caller's connection, which takes the answer.
     """
 
     def __init__(self, ctx: ForwardContext, req: CallerRequest, caller: CallerConnection):
         self._ctx = ctx
         self._req = req
         self._answer = CallerAnswer(req, caller)
-        self._mail = Mailbox(ctx.clock)
+        self._mailbox = Mailbox(ctx.clock)
         self._admitted: Admitted | None = None
         self._demand: Demand | None = None
         self._until_s = float("inf")
-        self._maker: TryMaker | None = None
-        self._hedged: HedgedTries | None = None
-        self._ran_at = 0
-        self._withheld = 0
-        self._inquiring = False
+        self._dispatcher: TryMaker | None = None
+        self._hedging: HedgedTries | None = None
+        self._run_count = 0
+        self._withheld_count = 0
+        self._asking_report = False
         self._times = EventTimes(req.arrived_s)
         self._failed_answer: FailedAnswer | None = None
         self._caller_left = False
 
-    # What the caller's connection calls.
+    # Called by the caller's connection.
 
     def caller_gone(self) -> None:
-        """The caller has closed its connection."""
+        """Handle that the caller has closed its connection."""
         self._caller_left = True
-        self._mail.put(CallerGone())
+        self._mailbox.put(CallerGone())
 
     def set_reading(self, on: bool) -> None:
-        """Stop or go on reading the targets' answers."""
-        if self._hedged is not None:
-            self._maker.set_reading(on)
-            self._hedged.set_reading(on)
+        """Pause or resume reading the targets' answers."""
+        if self._hedging is not None:
+            self._dispatcher.set_reading(on)
+            self._hedging.set_reading(on)
 
     def target_reborn(self, name: str) -> None:
-        """A target has started again under its name."""
-        if self._hedged is not None:
-            self._hedged.target_reborn(name)
+        """Handle that a target has restarted under the same name."""
+        if self._hedging is not None:
+            self._hedging.target_reborn(name)
 
     # The task.
 
     async def run(self) -> Outcome:
-        """Serve the request; return its outcome, which has been written and logged."""
+        """Serve the request; return its outcome after the answer is written and logged."""
         try:
             outcome = await self._serve()
         except CallerGoneError:
             outcome = Unknown("the caller has left")
         except Exception as exc:
-            _log.exception("request's task failed", extra={"reason": repr(exc)})
+            _log.exception("request task failed", extra={"reason": repr(exc)})
             fault = Unknown("a fault of this box", HTTPStatus.INTERNAL_SERVER_ERROR)
             outcome = self._answer.fail(fault)
         finally:
-            if self._maker is not None:
-                self._maker.close()
+            if self._dispatcher is not None:
+                self._dispatcher.close()
         log_outcome(
             self._ctx,
             self._req,
@@ -156,37 +157,39 @@
             return self._answer.refuse(admitted)
         self._admitted = admitted
         left_s = admitted.marks.time_left_s
-        limit_s = min(admitted.route.time_limit_s, LONGEST_S if left_s is None else left_s)
+        limit_s = min(
+            admitted.route.time_limit_s, DEFAULT_TIME_LIMIT_S if left_s is None else left_s
+        )
         self._until_s = self._req.arrived_s + limit_s
         self._demand = self._make_demand(admitted)
-        self._maker = TryMaker(
-            Forwarded(
+        self._dispatcher = TryMaker(
+            ForwardedRequest(
                 self._ctx,
                 self._req,
                 admitted,
                 self._answer,
-                self._mail,
+                self._mailbox,
                 self._times,
                 self._until_s,
             )
         )
         self._ctx.repeats.note_request(self._demand.service.name)
         while True:
-            end = await self._try_once()
+            end = await self._run_attempt()
             if isinstance(end, Done):
                 return end.outcome
-            final = await self._after(end)
+            final = await self._decide_next(end)
             if final is not None:
                 return final
 
     @cached_property
     def _digest(self) -> bytes:
-        """What stands for the request's content; made when it is first needed."""
+        """The digest of the request's content, computed on first use."""
         organisation = self._admitted.organisation
         return request_digest(self._req, organisation.name if organisation else "")
 
-    def _identified(self, demand: Demand) -> Demand:
-        """Return a demand that says which request it is, if any is suspected to end targets."""
+    def _with_digest(self, demand: Demand) -> Demand:
+        """Return the demand with the request's digest if any request is suspected of crashes."""
         if demand.digest or not self._ctx.suspicion.is_watching:
             return demand
         return replace(demand, digest=self._digest)
@@ -210,37 +213,40 @@
             route.pause_objective_s,
             self._ctx.data_hall,
             self._ctx.policy_of(owner, route.name),
-            self._lost_s(route, answer, engine),
+            self._lost_at_s(route, answer, engine),
         )
 
-    def _lost_s(self, route: Route, answer_tokens: int, engine: EngineTraits | None) -> float:
-        """Return when the request is lost if no event has come, by the clock."""
+    def _lost_at_s(self, route: Route, answer_tokens: int, engine: EngineTraits | None) -> float:
+        """Return until when the first event has to come, by the monotonic clock."""
         writing_s = answer_tokens * engine.step_s if engine is not None else 0.0
-        patience_s = caller_patience_s(route) if route.streaming else float("inf")
-        return min(self._until_s - writing_s, self._req.arrived_s + patience_s)
+        timeout_s = caller_timeout_s(route) if route.streaming else float("inf")
+        return min(self._until_s - writing_s, self._req.arrived_s + timeout_s)
 
-    # Tries.
+    # Attempts.
 
-    async def _try_once(self) -> TryEnd:
-        self._demand = self._identified(self._demand)
-        prepared = await self._maker.prepare(self._demand)
+    async def _run_attempt(self) -> TryEnd:
+        self._demand = self._with_digest(self._demand)
+        prepared = await self._dispatcher.prepare(self._demand)
         if self._caller_left:
-            # It left while a place was sought or memory set aside; nothing is to run for it.
+            # It left during placement or reservation.
             raise CallerGoneError
-        if not isinstance(prepared, Try):
+        if not isinstance(prepared, Attempt):
             return prepared
         self._send(prepared)
-        self._hedged = HedgedTries(self._ctx.clock, self._mail, self._until_s, prepared, self)
-        return await self._hedged.run()
+        self._hedging = HedgedTries(self._ctx.clock, self._mailbox, self._until_s, prepared, self)
+        return await self._hedging.run()
+
+    def _send(self, prepared: Attempt) -> None:
+        self._dispatcher.send(prepared, self._demand)
 
-    def _send(self, prepared: Try) -> None:
-        self._maker.send(prepared, self._demand)
+    def attempt_ended(self, ended: Attempt, end: TryEnd) -> None:
+        """End an attempt and log its failure.
 
-    def try_ended(self, ended: Try, end: TryEnd) -> None:
-        """End a try; a helping engine at fault is noted in place of the main one."""
+        If a helping engine is at fault, the verdict is recorded against it, not against the target.
+        """
         if not isinstance(end, Done):
             begun = self._answer.begun
-            log_try_end(
+            log_attempt_end(
                 self._ctx, self._admitted, self._demand, ended.choice, end, begun, self._digest
             )
         helper = _helper_at_fault(ended.choice, end)
@@ -253,17 +259,17 @@
         match end:
             case FailedAnswer():
                 self._failed_answer = end
-                self._note_run()
+                self._count_run()
             case Lost() | Overtaken():
-                self._note_run()
+                self._count_run()
             case Withheld():
-                self._withheld += 1
-                self._maker.take_back(ended)
+                self._withheld_count += 1
+                self._dispatcher.undo_send(ended)
 
-    def _note_suspicion(self, ended: Try, end: TryEnd, helper: str | None) -> None:
-        """Note whether a try speaks for or against that the request ends its targets.
+    def _note_suspicion(self, ended: Attempt, end: TryEnd, helper: str | None) -> None:
+        """Record whether an attempt is evidence that the request crashes its targets.
 
-        Engines that helped to read may have ended, too; whether any has is settled later.
+        Helping engines may have crashed as well; `Suspicion` finds out later which ones did.
         """
         suspicion, admitted = self._ctx.suspicion, self._admitted
         names = ended.choice.names if isinstance(end, Lost) else [helper] if helper else []
@@ -273,87 +279,87 @@
             if self._demand.service.engine is None:
                 place = (ended.choice.main.host, ended.choice.main.port)
                 listening = partial(self._ctx.pool.is_listening, place)
-                start(suspicion.check(ended.target, listening)).addErrback(_log_fault)
+                start(suspicion.check(ended.target, listening)).addErrback(_log_call_failure)
         elif isinstance(end, Done | FailedAnswer) and suspicion.is_watching:
             suspicion.note_served(self._digest)
 
     def time_up(self) -> Done:
-        """Answer that the request's time is up; return how it ended."""
+        """Fail the request because its time is up; return how it ended."""
         return Done(self._answer.fail(Unknown("its time is up", HTTPStatus.GATEWAY_TIMEOUT)))
 
     # Hedges.
 
-    def may_hedge(self, under_way: int) -> bool:
-        """Whether another target may run the request beside so many tries."""
+    def may_hedge(self, in_progress: int) -> bool:
+        """Whether the request may run on one more target beside its attempts in progress."""
         route = self._admitted.route
-        more = self._ran_at + under_way < route.max_targets and self._offers < MOST_OFFERS
+        more = self._run_count + in_progress < route.max_targets and self._offers < MOST_OFFERS
         return route.idempotent and more
 
-    async def search_hedge(self, silent: Try) -> Try | TryEnd:
-        """Prepare a hedge, if it is of use."""
-        demand = self._identified(self._demand)
-        demand = replace(demand, committed=True, lost_s=self._leaves_s())
-        found = await self._maker.prepare(demand, self._bounds_of_hedge(silent))
-        if not isinstance(found, Try):
+    async def search_hedge(self, silent: Attempt) -> Attempt | TryEnd:
+        """Prepare a hedge of a silent attempt; return it, or why there is none."""
+        demand = self._with_digest(self._demand)
+        demand = replace(demand, committed=True, lost_s=self._caller_leaves_s())
+        found = await self._dispatcher.prepare(demand, self._hedge_bounds(silent))
+        if not isinstance(found, Attempt):
             log_no_hedge(self._admitted, silent.target, found)
             self._ctx.metrics.hedges.labels("none").inc()
         return found
 
-    def _bounds_of_hedge(self, silent: Try) -> PlaceBounds:
-        """Return what a hedge must promise: to go on before the caller leaves.
+    def _hedge_bounds(self, silent: Attempt) -> PlacementBounds:
+        """Return the bounds on a hedge: its first event must come before the caller leaves.
 
-        If the silent target is known to read, it goes on by itself: a hedge must be sooner, and
-        cost less than the whole request is worth. Where many engines read one prompt, hedges
-        would else use up the repeats, and make new requests late on the engines that are free:
-        with the bound on cost a minute of planned work serves 0.938 of its worth, without it
-        0.930 (means of five paired runs, of which one differs by more than 0.005).
+        A target that is known to be reading prompts will answer by itself. Its hedge must be
+        faster, and cost less than the request is worth: hedges would else use up the retry budget
+        and delay new requests on free engines.
         """
-        if not self.is_explained(silent):
-            return PlaceBounds(self._leaves_s())
-        before_s = min(self._leaves_s(), self._reads_until_s(silent))
-        return PlaceBounds(before_s, worth_of(self._demand.prompt_tokens))
+        if not self.is_silence_explained(silent):
+            return PlacementBounds(self._caller_leaves_s())
+        before_s = min(self._caller_leaves_s(), self._reads_until_s(silent))
+        return PlacementBounds(before_s, worth_of(self._demand.prompt_tokens))
 
-    def send_hedge(self, prepared: Try) -> None:
-        """Send a hedge."""
+    def send_hedge(self, prepared: Attempt) -> None:
+        """Send a hedge that was prepared by `search_hedge`."""
         self._ctx.metrics.hedges.labels("sent").inc()
         self._send(prepared)
 
-    def _leaves_s(self) -> float:
-        """Return when the caller leaves if nothing comes, by the clock.
+    def _caller_leaves_s(self) -> float:
+        """Return when the caller leaves if nothing is sent to it, by the monotonic clock.
 
-        One that is still there after the usual time is taken to wait for as long as it may.
+        A caller that is still there after its usual timeout is assumed to wait for the deadline.
         """
         route = self._admitted.route
-        patience_s = caller_patience_s(route) if route.streaming else float("inf")
-        leaves_s = self._times.heard_s + patience_s
+        timeout_s = caller_timeout_s(route) if route.streaming else float("inf")
+        leaves_s = self._times.last_activity_s + timeout_s
         return min(self._until_s, leaves_s if leaves_s > self._now_s() else float("inf"))
 
-    def inquire(self, silent: Try) -> None:
-        """Compare what a silent try's engine reports with what it should hold; ask it if need be.
+    def check_report(self, silent: Attempt) -> None:
+        """Check a silent attempt against a report of its engine, requesting one if none is fresh.
 
-        Boxes that decide for others hear the reports of all engines, the rest of none.
+        Only boxes of the coordinator group receive the reports of all engines.
         """
         if not silent.plan.prompt_tokens:
             return
         state = self._ctx.view.state(silent.target)
         if state.rate is not None or self._ctx.view.rest_s(silent.target, self._now_s()):
-            # A question would take the place of a request there, or is not wanted.
+            # A report would use up a request of the target's rate limit, or breach its backoff.
             return
-        if self._now_s() - state.reported_s <= FRESH_REPORT_S:
-            silent.note_report(state.report)
-        elif not self._inquiring:
-            self._inquiring = True
-            start(self._ask_report(silent)).addErrback(_log_fault).addBoth(self._asked_report)
+        if self._now_s() - state.reported_s <= FRESH_REPORT_AGE_S:
+            silent.update_from_report(state.report)
+        elif not self._asking_report:
+            self._asking_report = True
+            start(self._ask_report(silent)).addErrback(_log_call_failure).addBoth(
+                self._report_answered
+            )
 
-    async def _ask_report(self, silent: Try) -> None:
+    async def _ask_report(self, silent: Attempt) -> None:
         try:
             report = await read_report(self._ctx.clock, self._ctx.pool, silent.choice.main)
         except TargetLeftAloneError:
             return
         except TargetNotListeningError:
             report = None
-        silent.note_report(report)
-        if silent.is_missing:
+        silent.update_from_report(report)
+        if silent.appears_lost:
             extra = {
                 "request_id": self._admitted.marks.request_id,
                 "target": silent.target,
@@ -362,82 +368,82 @@
             }
             _log.info("target does not hold a request that it was sent", extra=extra)
 
-    def _asked_report(self, _result: object) -> None:
-        self._inquiring = False
+    def _report_answered(self, _result: object) -> None:
+        self._asking_report = False
 
-    def is_explained(self, silent: Try) -> bool:
-        """Whether a target reports, and reads prompts that explain its silence."""
+    def is_silence_explained(self, silent: Attempt) -> bool:
+        """Whether the target reports and is reading prompts that explain its silence."""
         now_s = self._now_s()
-        suspect = silent.is_missing or self._ctx.view.state(silent.target).is_suspect
+        suspect = silent.appears_lost or self._ctx.view.state(silent.target).is_suspect
         return not suspect and self._reads_until_s(silent) > now_s
 
-    def _reads_until_s(self, silent: Try) -> float:
-        """Return until when a target is known to read prompts, by the clock."""
+    def _reads_until_s(self, silent: Attempt) -> float:
+        """Return until when a target is expected to read prompts, by the monotonic clock."""
         ledger = self._ctx.view.state(silent.target).ledger
         until_s = ledger.reads_until_s(self._demand.service.engine or EngineTraits())
         return float("-inf") if until_s is None else until_s
 
-    # Between tries.
+    # Between attempts.
 
-    async def _after(self, end: TryEnd) -> Outcome | None:
-        """Return the outcome if the request ends here, None if it is tried again."""
+    async def _decide_next(self, end: TryEnd) -> Outcome | None:
+        """Return the outcome if the request ends here, None for a further attempt."""
         route = self._admitted.route
         match end:
             case OverBudget():
-                return self._give_up_unrun("the repeats that may be sent are used up")
+                return self._give_up("the repeats that may be sent are used up")
             case Hopeless(come_back_s=come_back_s):
                 reason = "no target can begin it before its caller leaves"
-                return self._give_up_unrun(reason, come_back_s)
+                return self._give_up(reason, come_back_s)
             case Barred(come_back_s=come_back_s):
                 self._ctx.metrics.barred.inc()
-                return self._give_up_unrun("the targets that run it end", come_back_s)
+                return self._give_up("the targets that run it end", come_back_s)
             case AllLeave(come_back_s=come_back_s):
                 reason = "all targets of the service leave"
-                return self._give_up_unrun(reason, self._spread_s(come_back_s))
+                return self._give_up(reason, self._jittered_s(come_back_s))
             case AllClosed(come_back_s=come_back_s):
-                return await self._after_closed(come_back_s)
+                return await self._wait_or_refuse(come_back_s)
             case Withheld(reason=reason):
-                # Another place may be free at once: the wait was for a connection, not for room.
-                is_over = self._now_s() >= self._until_s or self._withheld >= MOST_WITHHELD
-                return self._give_up_unrun(reason) if is_over else None
+                # Another target may be free: the attempt waited for a connection, not for room.
+                is_over = self._now_s() >= self._until_s or self._withheld_count >= MAX_WITHHELD
+                return self._give_up(reason) if is_over else None
             case Refused(reason=reason):
                 waited_s = self._now_s() - self._req.arrived_s
-                no_place = not end.at_target and waited_s > WAIT_SHARE * route.objective_s
+                no_place = not end.at_target and waited_s > MAX_WAIT_SHARE * route.objective_s
                 if no_place or self._offers >= MOST_OFFERS or self._now_s() >= self._until_s:
-                    return self._give_up_unrun(reason)
+                    return self._give_up(reason)
                 if not end.at_target:
-                    await self._pause(FULL_PAUSE_S)
+                    await self._pause(NO_PLACE_PAUSE_S)
                 return None
             case Lost(reason=reason):
                 return None if self._may_run_again() else self._answer.fail(Unknown(reason))
             case FailedAnswer():
-                return None if self._may_run_again() else self._pass_failure(end)
-        raise AssertionError(f"not an end of a try: {end}")
+                return None if self._may_run_again() else self._forward_failure(end)
+        raise AssertionError(f"unexpected end of an attempt: {end}")
 
-    async def _after_closed(self, come_back_s: float) -> Outcome | None:
-        """Refuse what no target takes now, unless one does so soon that its caller won't notice."""
-        held_until_s = self._req.arrived_s + WAIT_SHARE * self._admitted.route.objective_s
+    async def _wait_or_refuse(self, come_back_s: float) -> Outcome | None:
+        """Wait if a target takes requests again soon, else refuse the request."""
+        held_until_s = self._req.arrived_s + MAX_WAIT_SHARE * self._admitted.route.objective_s
         if self._now_s() + come_back_s <= held_until_s:
             await self._pause(come_back_s)
             return None
         self._ctx.metrics.places.labels("none").inc()
         reason = "no target takes more, by the rates and rests that they have named"
-        return self._give_up_unrun(reason, self._spread_s(come_back_s))
+        return self._give_up(reason, self._jittered_s(come_back_s))
 
-    def _spread_s(self, come_back_s: float) -> float:
-        """Return when a caller is told to come back: apart, or all would meet at one place."""
-        return come_back_s * self._ctx.rng.uniform(1.0, COME_BACK_SPREAD)
+    def _jittered_s(self, come_back_s: float) -> float:
+        """Return a Retry-After with random jitter, so that callers do not all return at once."""
+        return come_back_s * self._ctx.rng.uniform(1.0, RETRY_AFTER_SPREAD)
 
-    def _note_run(self) -> None:
-        self._ran_at += 1
+    def _count_run(self) -> None:
+        self._run_count += 1
         self._demand = replace(self._demand, committed=True)
 
     def _may_run_again(self) -> bool:
         route = self._admitted.route
         in_time = self._now_s() < self._until_s
-        # A plain answer that has begun to go out can't be joined with another run's.
+        # A plain answer that is partly sent cannot be continued by another attempt.
         joinable = route.streaming or not self._answer.begun
-        return route.idempotent and joinable and self._ran_at < route.max_targets and in_time
+        return route.idempotent and joinable and self._run_count < route.max_targets and in_time
 
     async def _pause(self, pause_s: float) -> None:
         await sleep(self._ctx.clock, min(pause_s, max(0.0, self._until_s - self._now_s())))
@@ -447,16 +453,16 @@
 
     @property
     def _offers(self) -> int:
-        return self._maker.offers if self._maker is not None else 0
+        return self._dispatcher.attempt_count if self._dispatcher is not None else 0
 
-    def _give_up_unrun(self, reason: str, come_back_s: float = RETRY_AFTER_S) -> Outcome:
+    def _give_up(self, reason: str, come_back_s: float = RETRY_AFTER_S) -> Outcome:
         if self._failed_answer is not None:
-            return self._pass_failure(self._failed_answer)
-        if self._ran_at:
+            return self._forward_failure(self._failed_answer)
+        if self._run_count:
             return self._answer.fail(Unknown(reason))
         return self._answer.refuse(NotRun(reason, come_back_s))
 
-    def _pass_failure(self, answer: FailedAnswer) -> Outcome:
+    def _forward_failure(self, answer: FailedAnswer) -> Outcome:
         if self._answer.begun:
             return self._answer.fail(Unknown(f"status {answer.head.status} while resuming"))
         if answer.head.status in NOT_RUN_STATUSES and not self._admitted.route.idempotent:
@@ -468,8 +474,8 @@
         return Failed("failed at the target", HTTPStatus(answer.head.status))
 
 
-def _log_fault(failure) -> None:
-    _log.error("question to a target failed", extra={"reason": failure.getTraceback()})
+def _log_call_failure(failure) -> None:
+    _log.error("call to a target failed", extra={"reason": failure.getTraceback()})
 
 
 def _likely_answer_tokens(marks: CallerMarks, engine: EngineTraits) -> int:
@@ -478,7 +484,7 @@
 
 
 def _helper_at_fault(choice: Choice, end: TryEnd) -> str | None:
-    """Return the helping engine for whose sake a try was refused, None if it was none."""
+    """Return the helping engine that caused a refusal, None if there is none."""
     if not isinstance(end, Refused) or not end.at_fault:
         return None
     places = {f"{entry.host}:{entry.port}": entry.name for entry in choice.helpers}
@@ -489,6 +495,6 @@
 def start_request(
     ctx: ForwardContext, req: CallerRequest, caller: CallerConnection
 ) -> tuple[RequestTask, defer.Deferred[Outcome]]:
-    """Begin to serve a request; the deferred fires with its outcome."""
+    """Start serving a request; the deferred fires with its outcome."""
     task = RequestTask(ctx, req, caller)
     return task, start(task.run())
--- a/gladedrum/forward/pages.py
+++ b/gladedrum/forward/pages.py
@@ -1,7 +1,6 @@
-"""The pages of a box for its operators: readiness, metrics, condemned requests, rates, its table.
+"""The operators' pages of a box: readiness, metrics, condemned requests, statements, the table.
 
-Readiness and metrics are plain resources of Twisted, so that a box is ready before the library of
-the table's pages has been loaded; that happens when somebody first asks for the table.
+The library behind the table's pages is slow to load, so these pages are created on first request.
 """
 
 from collections.abc import Callable
@@ -18,7 +17,7 @@
 from ..platform import wire
 from .condemned_page import CondemnedPage
 from .measures import ForwardMetrics
-from .said_page import SaidPage
+from .statements_page import StatementsPage
 
 if TYPE_CHECKING:
     from ..table.site import TableSite
@@ -27,7 +26,7 @@
 
 
 class _ReadyPage(Resource):
-    """200 if callers may be sent here, else 503 with the reasons."""
+    """Answers 200 if callers may be sent here, else 503 with the reasons."""
 
     isLeaf = True
 
@@ -42,7 +41,7 @@
 
 
 class _MetricsPage(Resource):
-    """Counters and histograms."""
+    """Answers the metrics in the text format of Prometheus."""
 
     isLeaf = True
 
@@ -64,10 +63,10 @@
         self._metrics.configuration_version.set(known.version if known else -1)
         self._metrics.configuration_age_s.set(self._configuration.age_s)
         self._metrics.condemned.set(len(self._suspicion.condemned()))
-        said = self._statements.shown()
-        self._metrics.rated.set(len(said["rates"]))
-        self._metrics.leaving.set(len(said["leaving"]))
-        self._metrics.resting.set(len(said["rests"]))
+        shown = self._statements.shown()
+        self._metrics.rated.set(len(shown["rates"]))
+        self._metrics.leaving.set(len(shown["leaving"]))
+        self._metrics.resting.set(len(shown["rests"]))
         request.setHeader("Content-Type", CONTENT_TYPE_LATEST)
         return generate_latest(self._metrics.registry)
 
@@ -75,6 +74,8 @@
 class _Pages(Resource):
     """The root; makes the table's pages when they are first asked for."""
 
+    """The root page; creates the pages of the table on their first request."""
+
     def __init__(self, make_table_site: Callable[[], "TableSite"]):
         super().__init__()
         self._make_table_site = make_table_site
@@ -96,39 +97,39 @@
     statements: TargetStatements,
     operator_token: str,
 ) -> IResource:
-    """Return the pages.
+    """Return the root of the operators' pages.
 
     Parameters
     ----------
     not_ready : callable
-        Returns the reasons why callers should not be sent here; none if it is ready.
+        Returns the reasons why callers should not be sent here, empty if the box is ready.
     make_table_site : callable
-        Makes the pages of the table.
+        Creates the pages of the table.
     metrics : ForwardMetrics
-        Counters and histograms.
+        The metrics to export.
     configuration : ConfigurationKeeper
-        Whose version and age are measured when the metrics are read.
+        Provides the version and age of the configuration.
     suspicion : Suspicion
-        Knows which requests are condemned.
+        Provides the condemned requests.
     statements : TargetStatements
-        Knows what targets say of themselves.
+        Provides what targets state about themselves: rates, leaving, backoff.
     operator_token : str
-        What lifting one must carry; empty allows none.
+        Token required to lift a condemned request; empty forbids it.
     """
     root = _Pages(make_table_site)
-    _put(root, wire.READY_PATH, _ReadyPage(not_ready))
+    _put_at_path(root, wire.READY_PATH, _ReadyPage(not_ready))
     root.putChild(b"metrics", _MetricsPage(metrics, configuration, suspicion, statements))
     root.putChild(b"condemned", CondemnedPage(suspicion, operator_token))
-    root.putChild(b"rates", SaidPage(lambda: {"rates": statements.shown()["rates"]}))
-    root.putChild(b"statements", SaidPage(statements.shown))
+    root.putChild(b"rates", StatementsPage(lambda: {"rates": statements.shown()["rates"]}))
+    root.putChild(b"statements", StatementsPage(statements.shown))
     return root
 
 
-def _put(root: Resource, path: str, page: Resource) -> None:
-    """Put a page at a path of several segments."""
-    *folders, name = path.strip("/").encode().split(b"/")
-    for folder in folders:
+def _put_at_path(root: Resource, path: str, page: Resource) -> None:
+    """Add a page at a path of one or more segments."""
+    *segments, name = path.strip("/").encode().split(b"/")
+    for segment in segments:
         inner = Resource()
-        root.putChild(folder, inner)
+        root.putChild(segment, inner)
         root = inner
     root.putChild(name, page)
--- a/gladedrum/forward/ports.py
+++ b/gladedrum/forward/ports.py
@@ -1,4 +1,4 @@
-"""The sockets of a forwarding box: callers, readiness and other boxes."""
+"""The sockets of a forwarding box: for callers, for operators' pages, and for other boxes."""
 
 import socket
 from collections.abc import Callable
@@ -18,32 +18,32 @@
 __all__ = ["BoxPorts"]
 
 INFORMED_WITHIN_S = 0.5
-"""How long after its start a box waits for configuration and targets before it accepts callers, in
-seconds: half of what a caller gives a connection."""
+"""Longest wait for the configuration and the list of targets before a starting box accepts callers,
+in seconds: half of a caller's connect timeout."""
 
 INFORMED_CHECK_S = 0.005
-"""How often it looks for them, in seconds."""
+"""Interval between checks for them, in seconds."""
 
 
 class BoxPorts:
-    """The sockets, each a child of the box.
+    """The sockets of a box, each served by a supervised child.
 
     Parameters
     ----------
     reactor : reactor
-        Where sockets and timers live.
+        Provides sockets and timers.
     settings : callable
-        Returns the settings in force, with the addresses.
-    early : socket or None
-        The callers' socket, if it listens already.
+        Returns the current settings, with the addresses.
+    listening_socket : socket or None
+        The socket for callers, if it is already listening.
     callers : CallerFactory
         Serves callers.
     gossip : GossipPort
-        Takes datagrams of other boxes.
+        Handles datagrams of other boxes.
     make_pages : callable
-        Returns the pages about the box.
+        Returns the operators' pages of the box.
     is_informed : callable
-        Whether it is known where requests go.
+        Returns whether the configuration and the targets are known.
 
     Attributes
     ----------
@@ -55,7 +55,7 @@
         self,
         reactor: IReactorTime,
         settings: Callable[[], ForwardSettings],
-        early: socket.socket | None,
+        listening_socket: socket.socket | None,
         callers: CallerFactory,
         gossip: GossipPort,
         make_pages: Callable[[], IResource],
@@ -64,7 +64,7 @@
         self.cannot_start: defer.Deferred[None] = defer.Deferred()
         self._reactor = reactor
         self._settings = settings
-        self._early = early
+        self._listening_socket = listening_socket
         self._callers = callers
         self._gossip = gossip
         self._make_pages = make_pages
@@ -73,24 +73,24 @@
         self._ready_port = Listener("readiness", self._listen_ready, self._cannot_listen)
 
     @property
-    def callers_are_listened_for(self) -> bool:
+    def accepts_callers(self) -> bool:
         """Whether callers can connect."""
         return bool(self._caller_port.port)
 
     def close_callers(self) -> None:
-        """Take no new connections of callers."""
+        """Stop accepting connections of callers."""
         self._caller_port.close()
 
     def pages_child(self) -> Child:
-        """Return what serves the pages about the box."""
+        """Return the child that serves the operators' pages."""
         return Child("readiness", self._ready_port.run)
 
     def gossip_child(self) -> Child:
-        """Return what takes datagrams."""
+        """Return the child that receives datagrams of other boxes."""
         return Child("gossip", self._run_gossip)
 
     def callers_child(self) -> Child:
-        """Return what accepts callers."""
+        """Return the child that accepts callers."""
         return Child("callers", self._serve_callers)
 
     async def _run_gossip(self) -> None:
@@ -102,9 +102,9 @@
             await listening.stopListening()
 
     async def _serve_callers(self) -> None:
-        """Accept callers as soon as it is known where requests go, or after a while anyway.
+        """Accept callers once configuration and targets are known, or after `INFORMED_WITHIN_S`.
 
-        Until then callers wait in the kernel's queue: they would only be told to come back.
+        Until then connections wait in the kernel's backlog instead of being refused.
         """
         give_up_s = self._reactor.seconds() + INFORMED_WITHIN_S
         while not self._is_informed() and self._reactor.seconds() < give_up_s:
@@ -112,12 +112,14 @@
         await self._caller_port.run()
 
     def _listen_callers(self):
-        early, self._early = self._early, None
-        if early is None:
+        listening_socket, self._listening_socket = self._listening_socket, None
+        if listening_socket is None:
             return self._listen(self._settings().callers, self._callers)
-        # The reactor works on a copy of the descriptor.
-        with early:
-            port = self._reactor.adoptStreamPort(early.fileno(), socket.AF_INET, self._callers)
+        # The reactor duplicates the descriptor.
+        with listening_socket:
+            port = self._reactor.adoptStreamPort(
+                listening_socket.fileno(), socket.AF_INET, self._callers
+            )
         return defer.succeed(port)
 
     def _listen_ready(self):
@@ -131,6 +133,6 @@
             self._reactor, port, backlog=BACKLOG, interface=host
         ).listen(factory)
 
-    def _cannot_listen(self, problem: CannotListenError) -> None:
+    def _cannot_listen(self, error: CannotListenError) -> None:
         if not self.cannot_start.called:
-            self.cannot_start.errback(problem)
+            self.cannot_start.errback(error)
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -1,4 +1,8 @@
-"""Relaying of a target's answer to the caller, for one try, driven by the try's messages."""
+"""Relaying of a target's answer to the caller, driven by the messages of one attempt.
+
+Resumable streams are relayed event by event (`EventRelay`), all other answers as a whole or as
+they come (`WholeRelay`). A relay also decides when a silent target calls for a hedge.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -30,31 +34,31 @@
     outcome_of_status,
 )
 
-__all__ = ["CallerGoneError", "EventRelay", "Relay", "WholeRelay", "caller_patience_s"]
+__all__ = ["CallerGoneError", "EventRelay", "Relay", "WholeRelay", "caller_timeout_s"]
 
-REPEAT_SILENCE_X, REPEAT_SILENCE_S = 3.0, 0.5
-"""A plain request that may be repeated is hedged after this many times its objective, but not
-before so many seconds."""
+PLAIN_SILENCE_FACTOR, PLAIN_SILENCE_MIN_S = 3.0, 0.5
+"""A plain request is hedged after this multiple of its objective, at least after so many
+seconds."""
 
-FIRST_SILENCE_X, FIRST_SILENCE_S = 1.3, 0.4
-"""A resumable stream whose first event is later than predicted by this factor and so many
-seconds is hedged if its target gives no reports, or reports that it does not hold it: predictions
-are 0.02 s off in the mean, where an engine's work is known."""
+FIRST_EVENT_FACTOR, FIRST_EVENT_MARGIN_S = 1.3, 0.4
+"""The first event of a resumable stream is late after this multiple of its predicted time plus so
+many seconds. The stream is then hedged if the target sends no reports or its report shows that it
+does not hold the request."""
 
-PAUSE_SILENCE_X, PAUSE_SILENCE_S = 3.0, 0.4
-"""A resumable stream that pauses for longer than this many times the pause aimed at, and so many
-seconds more, is hedged in the same cases."""
+PAUSE_FACTOR, PAUSE_MARGIN_S = 3.0, 0.4
+"""A pause in a resumable stream is too long after this multiple of the route's pause objective plus
+so many seconds. The stream is then hedged under the same conditions."""
 
-PATIENCE_SHARE = 0.7
-"""A target that still reports is busy, not dead: a hedge would not make its stream timely, and
-costs its prompt again. After this share of the time that the caller waits for an event it is
-hedged all the same, so that it is late and not lost."""
+LATEST_HEDGE_SHARE = 0.7
+"""A late stream of a target that still reports is hedged only after this share of the caller's
+timeout: the target is busy, and a hedge repeats the cost of the prompt without being in time."""
 
-SUSPECT_CHECK_S = 0.1
-"""How often a quiet target is looked at again, in seconds."""
+CHECK_INTERVAL_S = 0.1
+"""Interval between checks of a silent target, in seconds."""
 
 BUFFERED_BYTES = 262_144
-"""A plain answer up to this size is sent on when it is whole, so that it can still be repeated."""
+"""Plain answers up to this size are buffered until complete, so that the request can be retried if
+the target fails."""
 
 
 class CallerGoneError(Exception):
@@ -63,40 +67,40 @@
 
 @dataclass
 class Relay:
-    """What both ways of relaying share; driven by the messages of one try.
+    """Common part of the relays.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     route : Route
-        The request's.
+        The route of the request.
     answer : CallerAnswer
-        Where the answer goes.
+        Writes the answer to the caller.
     note_part : callable
-        Called before each part that goes out at once.
+        Called before each part that is sent without buffering.
 
     Attributes
     ----------
-    quiet_until_s : float
-        When `calls_for_hedge` is to be asked, by the clock, if nothing comes before.
+    next_check_s : float
+        When to call `calls_for_hedge` if no message comes before, by the monotonic clock.
     delivered : bool
-        Whether something of this try has gone out to the caller.
-    went_on : bool
-        Whether something new has gone out with the last message; the task clears it before each.
+        Whether a part of this attempt's answer was sent to the caller.
+    made_progress : bool
+        Whether the last message sent something new to the caller; the user of the relay resets it.
     """
 
     clock: IReactorTime
     route: Route
     answer: CallerAnswer
     note_part: Callable[[], None]
-    quiet_until_s: float = field(default=float("inf"), init=False)
+    next_check_s: float = field(default=float("inf"), init=False)
     delivered: bool = field(default=False, init=False)
-    went_on: bool = field(default=False, init=False)
+    made_progress: bool = field(default=False, init=False)
     _head: AnswerHead | None = field(default=None, init=False)
 
-    def take(self, message: Message) -> TryEnd | None:
-        """Take a message of the try; return how the try ended, None if it goes on."""
+    def handle(self, message: Message) -> TryEnd | None:
+        """Handle a message of the attempt; return how the attempt ended, None if it goes on."""
         match message:
             case AnswerBroken(withheld=True, reason=reason):
                 return Withheld(reason)
@@ -109,79 +113,79 @@
                 refused = _refusal(message)
                 return self._begin() if refused is None else refused
             case AnswerData(data=data):
-                return self._pass_on(data)
+                return self._relay_data(data)
             case AnswerEnd():
                 return self._finish()
-        raise AssertionError(f"not a message of a try: {message}")
+        raise AssertionError(f"unexpected message of an attempt: {message}")
 
     @property
-    def keeps_answer(self) -> bool:
-        """Whether no other run can go on with what has gone out."""
+    def is_unresumable(self) -> bool:
+        """Whether a part was sent that no other attempt can continue."""
         return False
 
-    def leave_alone(self, for_s: float) -> None:
-        """Leave the target alone for so many seconds at least."""
-        self.quiet_until_s = max(self.quiet_until_s, self.clock.seconds() + for_s)
+    def postpone_check(self, for_s: float) -> None:
+        """Delay the next silence check by at least `for_s` seconds from now."""
+        self.next_check_s = max(self.next_check_s, self.clock.seconds() + for_s)
 
-    def _deliver(self) -> None:
-        """Note that something new goes out, and begin the answer."""
-        self.delivered = self.went_on = True
+    def _note_progress(self) -> None:
+        """Record that something new is sent, and send the head if it is the first."""
+        self.delivered = self.made_progress = True
         self.answer.begin(self._head)
 
-    # What the two ways do differently.
+    # Implemented by subclasses.
 
     def calls_for_hedge(self, now_s: float) -> bool:
-        """Whether the target has been silent for so long that another one should be asked."""
+        """Whether the target has been silent for too long, so that a hedge is needed."""
         raise NotImplementedError
 
-    def caller_reads_again(self, now_s: float) -> None:
-        """The answer is read again after a time in which the caller was too slow for it."""
+    def reading_resumed(self, now_s: float) -> None:
+        """Restart the silence timeout: the answer was not read while the caller was too slow."""
         raise NotImplementedError
 
     def _begin(self) -> TryEnd | None:
-        """The head has come and is no refusal."""
+        """Handle the head of an answer that is not a refusal."""
         raise NotImplementedError
 
-    def _pass_on(self, data: bytes) -> TryEnd | None:
-        """A part of the body has come."""
+    def _relay_data(self, data: bytes) -> TryEnd | None:
+        """Handle a part of the body."""
         raise NotImplementedError
 
     def _finish(self) -> TryEnd:
-        """The body is complete."""
+        """Handle the end of the body."""
         raise NotImplementedError
 
 
 @dataclass
 class WholeRelay(Relay):
-    """Collects a plain answer, or passes on a stream that can't be resumed."""
+    """Relays a plain answer, buffered up to `BUFFERED_BYTES`, or a stream that is not resumable."""
 
     _parts: list[bytes] = field(default_factory=list, init=False)
     _size: int = field(default=0, init=False)
 
     def __post_init__(self) -> None:
-        self.caller_reads_again(self.clock.seconds())
+        self.reading_resumed(self.clock.seconds())
 
     @property
-    def keeps_answer(self) -> bool:
-        """Whether a part has gone out, which can't be joined with another run's."""
+    def is_unresumable(self) -> bool:
+        """Whether a part was sent; another attempt's answer cannot be joined to it."""
         return self.delivered
 
     def calls_for_hedge(self, _now_s: float) -> bool:
-        """Whether another target should be asked: once this one is late beyond its objective."""
+        """Whether a hedge is needed: always, as the first check is made when the answer is late."""
         return True
 
-    def caller_reads_again(self, now_s: float) -> None:
-        """Give the target its time again."""
+    def reading_resumed(self, now_s: float) -> None:
+        """Restart the silence timeout, unless a part of the answer was sent."""
         if self.delivered:
             return
-        patience_s = max(REPEAT_SILENCE_S, REPEAT_SILENCE_X * self.route.objective_s)
-        self.quiet_until_s = now_s + patience_s
+        silence_limit_s = max(PLAIN_SILENCE_MIN_S, PLAIN_SILENCE_FACTOR * self.route.objective_s)
+        self.next_check_s = now_s + silence_limit_s
 
     def _begin(self) -> None:
         if self.route.streaming and self._head.status == HTTPStatus.OK:
             self._begin_answer()
 
-    def _pass_on(self, data: bytes) -> None:
+    def _relay_data(self, data: bytes) -> None:
         if self.delivered:
             self.note_part()
             self.answer.send(data)
@@ -205,62 +209,62 @@
         return Done(outcome_of_status(status))
 
     def _begin_answer(self) -> None:
-        # Nobody else can go on with a part: this target keeps its answer, however silent it is.
-        self.quiet_until_s = float("inf")
-        self._deliver()
+        # No other attempt can continue this answer, so the target is not checked any more.
+        self.next_check_s = float("inf")
+        self._note_progress()
 
 
 @dataclass
 class EventRelay(Relay):
-    """Passes on a stream event by event, so that another target can continue it.
+    """Relays a stream event by event, so that another target can resume it.
 
     Parameters
     ----------
     first_event_s : float
-        When the first event was predicted, in seconds from the start of the try.
+        Predicted time from the start of the attempt to its first event, in seconds.
     is_suspect : callable
-        Whether the target has stopped giving reports.
+        Returns whether the target has stopped sending reports or appears to have lost the request.
     """
 
     first_event_s: float
     is_suspect: Callable[[], bool]
     _splitter: EventSplitter = field(default_factory=EventSplitter, init=False)
-    _heard_s: float = field(default=0.0, init=False)
-    _pause_s: float = field(default=0.0, init=False)
+    _last_event_s: float = field(default=0.0, init=False)
+    _max_pause_s: float = field(default=0.0, init=False)
     _failure: list[bytes] = field(default_factory=list, init=False)
 
     def __post_init__(self) -> None:
-        self._heard_s = self.clock.seconds()
-        first_s = FIRST_SILENCE_X * self.first_event_s + FIRST_SILENCE_S
-        self.quiet_until_s = self._heard_s + first_s
-        self._pause_s = PAUSE_SILENCE_X * self.route.pause_objective_s + PAUSE_SILENCE_S
+        self._last_event_s = self.clock.seconds()
+        first_s = FIRST_EVENT_FACTOR * self.first_event_s + FIRST_EVENT_MARGIN_S
+        self.next_check_s = self._last_event_s + first_s
+        self._max_pause_s = PAUSE_FACTOR * self.route.pause_objective_s + PAUSE_MARGIN_S
 
     def calls_for_hedge(self, now_s: float) -> bool:
-        """Whether another target should be asked: sooner if this one gives no reports either."""
-        patient_until_s = self._heard_s + PATIENCE_SHARE * caller_patience_s(self.route)
-        if now_s >= patient_until_s or self.is_suspect():
+        """Whether a hedge is needed: now if the target is suspect, else near the caller timeout."""
+        latest_hedge_s = self._last_event_s + LATEST_HEDGE_SHARE * caller_timeout_s(self.route)
+        if now_s >= latest_hedge_s or self.is_suspect():
             return True
-        self.quiet_until_s = min(patient_until_s, now_s + SUSPECT_CHECK_S)
+        self.next_check_s = min(latest_hedge_s, now_s + CHECK_INTERVAL_S)
         return False
 
-    def caller_reads_again(self, now_s: float) -> None:
-        """Give the target its time again."""
-        self._heard_s = now_s
-        self.quiet_until_s = max(self.quiet_until_s, now_s + self._pause_s)
+    def reading_resumed(self, now_s: float) -> None:
+        """Restart the silence timeout."""
+        self._last_event_s = now_s
+        self.next_check_s = max(self.next_check_s, now_s + self._max_pause_s)
 
     def _begin(self) -> None:
         pass
 
-    def _pass_on(self, data: bytes) -> None:
+    def _relay_data(self, data: bytes) -> None:
         if self._head.status != HTTPStatus.OK:
             self._failure.append(data)
             return
         for event in self._splitter.feed(data):
-            self._heard_s = self.clock.seconds()
-            self.quiet_until_s = self._heard_s + self._pause_s
+            self._last_event_s = self.clock.seconds()
+            self.next_check_s = self._last_event_s + self._max_pause_s
             if not is_newer(event.event_id, self.answer.last_event_id):
                 continue
-            self._deliver()
+            self._note_progress()
             self.note_part()
             self.answer.send_event(event)
 
@@ -270,7 +274,7 @@
         rest = self._splitter.rest
         if rest and not _is_framed(self._head):
             return Lost("the stream ends within an event")
-        self._deliver()
+        self._note_progress()
         self.answer.send(rest)
         self.answer.end()
         return Done(Completed())
@@ -283,8 +287,8 @@
     return Refused(f"status {head.status} from the target", at_target=True, at_fault=marks.at_fault)
 
 
-def caller_patience_s(route: Route) -> float:
-    """Return how long a caller waits for an event before it gives the stream up, in seconds."""
+def caller_timeout_s(route: Route) -> float:
+    """Return how long a caller waits for an event before it closes the stream, in seconds."""
     return max(
         CALLER_WAIT_S,
         CALLER_WAIT_X * route.objective_s,
--- a/gladedrum/forward/request_log.py
+++ b/gladedrum/forward/request_log.py
@@ -1,4 +1,4 @@
-"""What is logged and counted of a request: where each try goes, how it fails, how all ends."""
+"""Log lines and metrics of a request: where attempts go, why they fail, how the request ends."""
 
 import logging
 
@@ -13,23 +13,24 @@
 from .event_times import EventTimes
 from .try_ends import Done, FailedAnswer, TryEnd
 
-__all__ = ["log_no_hedge", "log_outcome", "log_try", "log_try_end"]
+__all__ = ["log_attempt", "log_attempt_end", "log_no_hedge", "log_outcome"]
 
 _log = logging.getLogger(__name__)
 
 
-def log_try(
+def log_attempt(
     ctx: ForwardContext,
     admitted: Admitted,
     demand: Demand,
     choice: Choice,
-    offer: int,
+    number: int,
     last_event_id: bytes | None,
-    under_way: int,
+    in_progress: int,
 ) -> None:
-    """Log where a try goes and why.
+    """Log the placement of an attempt and the predictions that it is based on.
 
-    `offer` counts the request's offers from 1; `under_way` the other tries that it is a hedge of.
+    `number` counts the attempts of the request from 1. `in_progress` is the number of other
+    attempts that this one hedges.
     """
     state = ctx.view.state(choice.main.name)
     now_s = ctx.clock.seconds()
@@ -40,7 +41,7 @@
             "target": choice.main.name,
             "helpers": len(choice.helpers),
             "helper_names": [entry.name for entry in choice.helpers],
-            "offer": offer,
+            "offer": number,
             "decided_by": choice.decided_by or ctx.box,
             "policy": demand.policy,
             "loss": round(choice.loss, 3),
@@ -50,13 +51,13 @@
             "list_age_s": round(ctx.targets.age_s, 3),
             "report_age_s": shown_age_s(state, now_s),
             "prompt_tokens": demand.prompt_tokens,
-            "hedge_of": under_way,
+            "hedge_of": in_progress,
             "resumes_after": (last_event_id or b"").decode("latin-1"),
         },
     )
 
 
-def log_try_end(
+def log_attempt_end(
     ctx: ForwardContext,
     admitted: Admitted,
     demand: Demand,
@@ -65,12 +66,11 @@
     begun: bool,
     digest: bytes,
 ) -> None:
-    """Log a try that did not end the request; `begun` if the caller has got the head.
+    """Log an attempt that did not complete the request.
 
-    The digest of its content tells which other attempts of callers are the same request.
-
-    What this box knows of the target tells a silence that known work explains, and that ends by
-    itself, from one of a target that has failed.
+    `begun` tells whether the caller has got the head. `digest` identifies repeats of the same
+    request by callers. The report's age and `reads_on_s` tell a target that is busy reading
+    prompts from one that has failed.
     """
     if isinstance(end, Done):
         return
@@ -89,13 +89,13 @@
             "begun": begun,
             "report_age_s": shown_age_s(state, now_s),
             "suspect": state.is_suspect,
-            "reads_on_s": _rounded(None if reads_until_s is None else reads_until_s - now_s),
+            "reads_on_s": _round_s(None if reads_until_s is None else reads_until_s - now_s),
         },
     )
 
 
 def log_no_hedge(admitted: Admitted, target: str, end: TryEnd) -> None:
-    """Log that a silent try goes on alone, and why."""
+    """Log why a silent attempt gets no hedge."""
     _log.info(
         "no hedge",
         extra={
@@ -113,10 +113,10 @@
     admitted: Admitted | None,
     demand: Demand | None,
     outcome: Outcome,
-    offers: int,
+    attempt_count: int,
     times: EventTimes,
 ) -> None:
-    """Log and count how a request ended; `admitted`, `demand` are None if it was refused first."""
+    """Log and count the end of a request; `admitted` and `demand` are None if not admitted."""
     name = outcome_name(outcome)
     took_s = ctx.clock.seconds() - req.arrived_s
     ctx.metrics.outcomes.labels(name).inc()
@@ -130,21 +130,21 @@
             "outcome": name,
             "status": http_status(outcome),
             "reason": getattr(outcome, "reason", ""),
-            **_asked_for(admitted),
+            **_route_fields(admitted),
             "data_hall": ctx.data_hall,
             "prompt_tokens": demand.prompt_tokens if demand else 0,
-            "offers": offers,
-            "offered_s": _rounded(times.offered_s),
+            "offers": attempt_count,
+            "offered_s": _round_s(times.offered_s),
             "took_s": round(took_s, 3),
-            "first_event_s": _rounded(times.first_s),
+            "first_event_s": _round_s(times.first_s),
             "longest_pause_s": round(times.longest_pause_s, 3),
             "pause_began_s": round(times.longest_began_s, 3),
         },
     )
 
 
-def _asked_for(admitted: Admitted | None) -> dict[str, object]:
-    """Return whose request it was and what its route aims at."""
+def _route_fields(admitted: Admitted | None) -> dict[str, object]:
+    """Return the log fields for the route, its objectives and the organisation."""
     if admitted is None:
         return {"route": ""}
     route, organisation = admitted.route, admitted.organisation
@@ -156,5 +156,5 @@
     }
 
 
-def _rounded(time_s: float | None) -> float | None:
+def _round_s(time_s: float | None) -> float | None:
     return None if time_s is None else round(time_s, 3)
--- a/gladedrum/forward/reservations.py
+++ b/gladedrum/forward/reservations.py
@@ -1,4 +1,8 @@
-"""Memory set aside on engines that read a part of a prompt, and its release on every way out."""
+"""Memory reservations on engines that read a part of a prompt: acquire, renew and release.
+
+A reservation is held for a limited time and renewed until it is released. It lapses by itself if
+this box dies.
+"""
 
 import logging
 from collections.abc import Callable, Sequence
@@ -17,30 +21,30 @@
 __all__ = ["ReservationSet"]
 
 HOLD_SHARE = 0.85
-"""How long memory is held by one order, as a share of the time after which it must be free: so
-it is freed in time even if this box dies."""
+"""Hold time of a reservation, as a share of `free_bound_s`: below 1, so that memory is free in time
+even if this box dies."""
 
 RENEW_SHARE = 0.35
-"""When it is renewed, as a share of that hold: two renewals may be lost, see `RENEW_AGAIN_S`."""
+"""Time until a renewal, as a share of the hold time: leaves room for two failed renewals."""
 
-RENEW_AGAIN_S = 0.2
-"""Pause after a renewal that got no answer or was refused, in seconds: with its time-out and a hold
-of 3.4 s a second and a third one come before the memory lapses and its engine cuts the request."""
+RENEW_RETRY_S = 0.2
+"""Pause after a failed renewal, in seconds: short enough for two more before the memory lapses and
+the engine cuts the request off."""
 
-ORDER_TIMEOUT_S = 0.6
-"""How long an order may take, in seconds; engines answer in milliseconds."""
+CALL_TIMEOUT_S = 0.6
+"""Timeout of a reservation call, in seconds."""
 
-LATEST_RENEWAL_S = 2 * (ORDER_TIMEOUT_S + RENEW_AGAIN_S)
-"""Memory at an engine that wants rest is renewed so long before it lapses, in seconds: one renewal
-may be lost."""
+MIN_RENEWAL_LEAD_S = 2 * (CALL_TIMEOUT_S + RENEW_RETRY_S)
+"""Latest time of a renewal that is delayed by a requested backoff, in seconds before the memory
+lapses: leaves room for one failed renewal."""
 
-RELEASE_TRIES = 4
+RELEASE_ATTEMPTS = 4
 
 _log = logging.getLogger(__name__)
 
 
 class ReservationSet:
-    """The reservations of one try: all of them, or none.
+    """The reservations of one attempt, acquired on all engines or on none.
 
     Parameters
     ----------
@@ -49,18 +53,20 @@
     pool : TargetPool
         Connections to targets.
     name : str
-        The id of the reservation; unique to the try.
+        The id of the reservations, unique to the attempt.
     engines : sequence of TargetEntry
-        Where memory is set aside.
+        The engines to reserve memory on.
     tokens : int
-        How much on each.
-    free_bound_s, most_s : float
-        After so long it must be free once the request has ended; the longest hold.
-    born_of : callable
-        Returns the latest start of an engine that is known, by its name. A later start than the one
-        that has set memory aside holds none: there it is neither renewed nor given back.
-    rest_of : callable
-        Returns for how many seconds an engine wants nothing from this box, by its name.
+        The memory to reserve on each, in tokens.
+    free_bound_s : float
+        Time after the end of a request within which its memory must be free, in seconds.
+    max_hold_s : float
+        The longest hold that one call may ask for, in seconds.
+    start_of : callable
+        Returns the latest known start of an engine, by name. Memory does not survive a restart, so
+        a reservation made at an earlier start is neither renewed nor released.
+    backoff_of : callable
+        Returns for how many more seconds an engine has asked this box to send nothing, by name.
     """
 
     def __init__(
@@ -71,57 +77,57 @@
         engines: Sequence[TargetEntry],
         tokens: int,
         free_bound_s: float,
-        most_s: float,
-        born_of: Callable[[str], int] = lambda _name: 0,
-        rest_of: Callable[[str], float] = lambda _name: 0.0,
+        max_hold_s: float,
+        start_of: Callable[[str], int] = lambda _name: 0,
+        backoff_of: Callable[[str], float] = lambda _name: 0.0,
     ):
         self.name = name
         self._clock = clock
         self._pool = pool
         self._engines = engines
         self._tokens = tokens
-        self._hold_s = min(most_s, HOLD_SHARE * free_bound_s)
+        self._hold_s = min(max_hold_s, HOLD_SHARE * free_bound_s)
         self._renewing: list[defer.Deferred[None]] = []
         self._released = False
-        self._born_of = born_of
-        self._rest_of = rest_of
+        self._start_of = start_of
+        self._backoff_of = backoff_of
         self._held_until_s: dict[str, float] = {}
-        self._born: dict[str, int] = {}
-        self._ended: set[str] = set()
-
-    async def take(self) -> list[str]:
-        """Set the memory aside; return the engines that refused, after giving back the rest."""
-        self._born = {entry.name: self._born_of(entry.name) for entry in self._engines}
-        orders = [start(self._reserve_first(entry)) for entry in self._engines]
-        granted = await defer.gatherResults(orders, consumeErrors=True)
+        self._starts: dict[str, int] = {}
+        self._superseded: set[str] = set()
+
+    async def acquire(self) -> list[str]:
+        """Reserve the memory; return the engines that refused, after releasing the others."""
+        self._starts = {entry.name: self._start_of(entry.name) for entry in self._engines}
+        granting = [start(self._reserve_first(entry)) for entry in self._engines]
+        granted = await defer.gatherResults(granting, consumeErrors=True)
         refused = [e.name for e, ok in zip(self._engines, granted, strict=True) if not ok]
         if refused:
             self.release()
         elif not self._released:
             self._renewing = [start(self._renew(entry)) for entry in self._engines]
             for task in self._renewing:
-                task.addErrback(_note_end)
+                task.addErrback(_log_failure)
         return refused
 
     def release(self) -> None:
-        """Give all back; goes on by itself until each engine has answered or the hold is over."""
+        """Release all reservations; retries in the background until they are released or lapse."""
         if self._released:
             return
         self._released = True
         for task in self._renewing:
             task.cancel()
         for entry in self._engines:
-            if not self._is_reborn(entry):
-                start(self._release(entry)).addErrback(_note_end)
+            if not self._has_restarted(entry):
+                start(self._release(entry)).addErrback(_log_failure)
 
     async def _reserve(self, entry: TargetEntry, kind: CallKind) -> CallAnswer | None:
-        """Have memory set aside or renewed; return the answer if it was."""
+        """Make or renew a reservation; return the engine's answer, None if it failed."""
         lapses_s = self._clock.seconds() + self._hold_s
         try:
             call = reserve_call(self.name, self._tokens, self._hold_s, kind)
-            answer = await call_target(self._clock, self._pool, entry, call, ORDER_TIMEOUT_S)
+            answer = await call_target(self._clock, self._pool, entry, call, CALL_TIMEOUT_S)
         except TargetBrokenError as exc:
-            _log.info("no reservation", extra={"target": entry.name, "reason": str(exc)})
+            _log.info("reservation call failed", extra={"target": entry.name, "reason": str(exc)})
             return None
         if not answer.ok:
             return None
@@ -131,69 +137,69 @@
     async def _reserve_first(self, entry: TargetEntry) -> bool:
         answer = await self._reserve(entry, CallKind.SET_ASIDE)
         if answer is not None:
-            # The engine knows better than its entry or report which start this is.
-            self._born[entry.name] = decode_born(answer.body) or self._born[entry.name]
+            # The answer names the start that holds the memory; the target list may lag behind.
+            self._starts[entry.name] = decode_born(answer.body) or self._starts[entry.name]
         return answer is not None
 
     async def _reserve_again(self, entry: TargetEntry) -> bool:
-        """Renew; memory that a later start has set aside for this is given back at once."""
+        """Renew a reservation; release it at once if a later start of the engine has made it."""
         answer = await self._reserve(entry, CallKind.RENEW)
         if answer is None:
             return False
-        if 0 < self._born[entry.name] < decode_born(answer.body):
-            self._ended.add(entry.name)
-            start(self._release(entry)).addErrback(_note_end)
+        if 0 < self._starts[entry.name] < decode_born(answer.body):
+            self._superseded.add(entry.name)
+            start(self._release(entry)).addErrback(_log_failure)
         return True
 
-    def _is_reborn(self, entry: TargetEntry) -> bool:
-        """Whether the start of an engine that has set memory aside is over."""
-        is_later_known = 0 < self._born[entry.name] < self._born_of(entry.name)
-        return is_later_known or entry.name in self._ended
+    def _has_restarted(self, entry: TargetEntry) -> bool:
+        """Whether the engine has restarted since it reserved the memory."""
+        is_later_known = 0 < self._starts[entry.name] < self._start_of(entry.name)
+        return is_later_known or entry.name in self._superseded
 
     async def _renew(self, entry: TargetEntry) -> None:
-        """Renew one engine's; on its own, so that a silent one delays no other."""
+        """Keep one engine's reservation renewed, independently of the other engines."""
         await self._pause(entry, RENEW_SHARE * self._hold_s)
-        while not self._is_reborn(entry):
+        while not self._has_restarted(entry):
             renewed = await self._reserve_again(entry)
-            await self._pause(entry, RENEW_SHARE * self._hold_s if renewed else RENEW_AGAIN_S)
+            await self._pause(entry, RENEW_SHARE * self._hold_s if renewed else RENEW_RETRY_S)
 
     async def _pause(self, entry: TargetEntry, pause_s: float) -> None:
-        """Pause before a renewal; while its engine wants rest, for as long as the memory bears."""
+        """Sleep before a renewal; longer if the engine asked for backoff and the hold allows it."""
         await sleep(self._clock, pause_s)
         held_s = self._held_until_s[entry.name] - self._clock.seconds()
-        put_off_s = min(self._rest_of(entry.name), held_s - LATEST_RENEWAL_S)
-        if put_off_s > 0:
-            await sleep(self._clock, put_off_s)
+        delay_s = min(self._backoff_of(entry.name), held_s - MIN_RENEWAL_LEAD_S)
+        if delay_s > 0:
+            await sleep(self._clock, delay_s)
 
     async def _release(self, entry: TargetEntry) -> None:
         call = release_call(self.name)
-        for _ in range(RELEASE_TRIES):
-            if not await self._rest_over(entry):
+        for _ in range(RELEASE_ATTEMPTS):
+            if not await self._wait_out_backoff(entry):
                 return
             try:
-                await call_target(self._clock, self._pool, entry, call, ORDER_TIMEOUT_S)
+                await call_target(self._clock, self._pool, entry, call, CALL_TIMEOUT_S)
                 return
             except TargetBrokenError as exc:
-                _log.info("not released", extra={"target": entry.name, "reason": str(exc)})
-            await sleep(self._clock, ORDER_TIMEOUT_S)
+                _log.info("release call failed", extra={"target": entry.name, "reason": str(exc)})
+            await sleep(self._clock, CALL_TIMEOUT_S)
 
-    async def _rest_over(self, entry: TargetEntry) -> bool:
-        """Wait until an engine may be asked again; return False if its memory lapses before."""
-        rest_s, now_s = self._rest_of(entry.name), self._clock.seconds()
-        if not rest_s:
+    async def _wait_out_backoff(self, entry: TargetEntry) -> bool:
+        """Wait until the engine may be called again; return False if the memory lapses first."""
+        backoff_s, now_s = self._backoff_of(entry.name), self._clock.seconds()
+        if not backoff_s:
             return True
-        if now_s + rest_s >= self._held_until_s.get(entry.name, now_s):
+        if now_s + backoff_s >= self._held_until_s.get(entry.name, now_s):
             return False
-        await sleep(self._clock, rest_s)
+        await sleep(self._clock, backoff_s)
         return True
 
 
 def _was_cancelled(failure) -> bool:
-    """Whether a task was cancelled, also while it waited for several orders at once."""
+    """Whether the failure is a cancellation, also one of several calls awaited together."""
     inner = failure.value.subFailure if failure.check(defer.FirstError) else failure
     return bool(inner.check(defer.CancelledError))
 
 
-def _note_end(failure) -> None:
+def _log_failure(failure) -> None:
     if not _was_cancelled(failure):
-        _log.error("reservation's task failed", extra={"reason": failure.getTraceback()})
+        _log.error("reservation task failed", extra={"reason": failure.getTraceback()})
--- a/gladedrum/forward/settings.py
+++ b/gladedrum/forward/settings.py
@@ -1,6 +1,6 @@
 """The settings of a forwarding box.
 
-Most come from the platform through `deploy/settings.ini`; the times there are in milliseconds.
+Most are set by the platform through `deploy/settings.ini`; times there are in milliseconds.
 """
 
 import configparser
@@ -54,7 +54,7 @@
     _SECTION, "retry_window_s", 10.0, "The window in which repeats are counted.", unit="s",
     minimum=1,
 )  # fmt: skip
-_HOLD_MOST_MS = Item(
+_RESERVATION_MAX_MS = Item(
     _SECTION, "reservation_most_ms", 20_000.0,
     "The longest that memory can be set aside on an engine by one order.", unit="ms", minimum=100,
 )  # fmt: skip
@@ -90,11 +90,11 @@
 
 
 class ForwardSettings(NamedTuple):
-    """The values of this section, in seconds and as addresses.
+    """The values of the section, with times in seconds and parsed addresses.
 
-    Attributes have the names and meanings of the settings; `capacity` is in cores, `seeds` are the
-    other boxes' addresses, and `waits_for_seeds` says that the fleet starts for the first time and
-    this box is no seed.
+    Attributes have the names and meanings of the settings. In addition, `capacity` is in cores,
+    `seeds` excludes this box, and `waits_for_seeds` is true if the fleet starts for the first time
+    and this box is not a seed.
     """
 
     callers: tuple[str, int]
@@ -123,26 +123,26 @@
         parser.read(path, encoding="utf-8")
         return parser.getboolean(_SECTION, FORWARDING.key, fallback=FORWARDING.default)
     except (configparser.Error, UnicodeDecodeError, ValueError):
-        # `load_settings` reports what is wrong, with its place.
+        # `load_settings` reports the error and its position.
         return False
 
 
 def callers_address(path: str) -> tuple[str, int] | None:
-    """Return where callers are served; None if a settings file does not say it rightly.
+    """Return the address for callers, None if the settings file is missing it or invalid.
 
-    For a box that starts and has not declared all settings yet.
+    Used to listen early, before all settings are declared.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read(path, encoding="utf-8")
         return _address(parser.get(_SECTION, _CALLERS.key, fallback=_CALLERS.default))
     except (configparser.Error, UnicodeDecodeError, ValueError):
-        # `load_settings` reports what is wrong, with its place.
+        # `load_settings` reports the error and its position.
         return None
 
 
 def forward_settings(cfg: Settings) -> ForwardSettings:
-    """Return the section's values; raises `ValueError` if an address is not IP:PORT."""
+    """Return the values of the section; raises `ValueError` if an address is not IP:PORT."""
     return ForwardSettings(
         callers=_address(cfg.get(_CALLERS)),
         ready=_address(cfg.get(_READY)),
@@ -155,20 +155,20 @@
         retry_ratio=cfg.get(_RETRY_RATIO),
         retry_slack=cfg.get(_RETRY_SLACK),
         retry_window_s=cfg.get(_RETRY_WINDOW_S),
-        reservation_most_s=cfg.get(_HOLD_MOST_MS) / 1000,
+        reservation_most_s=cfg.get(_RESERVATION_MAX_MS) / 1000,
         free_bound_s=cfg.get(_FREE_MS) / 1000,
         keep_callers=cfg.get(_KEEP_CALLERS),
         capacity=cfg.get(_CORE_SHARE) * cfg.get(_CORES),
-        seeds=_seeds(cfg),
-        waits_for_seeds=cfg.get(_FIRST_START) and len(_seeds(cfg)) == len(cfg.get(_SEEDS)),
+        seeds=_other_seeds(cfg),
+        waits_for_seeds=cfg.get(_FIRST_START) and len(_other_seeds(cfg)) == len(cfg.get(_SEEDS)),
     )
 
 
-def _seeds(cfg: Settings) -> tuple[tuple[str, int], ...]:
-    """Return where the boxes hear that are named, without this one."""
-    me = _address(cfg.get(_PEERS))
-    places = ((_address(text)[0], me[1]) for text in cfg.get(_SEEDS))
-    return tuple(place for place in places if place != me)
+def _other_seeds(cfg: Settings) -> tuple[tuple[str, int], ...]:
+    """Return the peer addresses of the configured seeds, without this box."""
+    own = _address(cfg.get(_PEERS))
+    addresses = ((_address(text)[0], own[1]) for text in cfg.get(_SEEDS))
+    return tuple(address for address in addresses if address != own)
 
 
 def _address(text: str) -> tuple[str, int]:
--- a/gladedrum/forward/try_ends.py
+++ b/gladedrum/forward/try_ends.py
@@ -1,4 +1,7 @@
-"""How a try of a request at a target ends, and what that says of the target."""
+"""The ways in which an attempt ends, and what each reports about its target.
+
+The class names appear in log lines as `end`.
+"""
 
 from dataclasses import dataclass
 from http import HTTPStatus
@@ -29,12 +32,12 @@
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.SERVICE_UNAVAILABLE,
 )
-"""Statuses by which a caller is told that its request has not run and never will."""
+"""Statuses that tell a caller that its request has not run and will not run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The answer has gone out, or the request is over in another way."""
+    """The answer was sent, or the request ended in another way."""
 
     outcome: Outcome
 
@@ -48,10 +51,9 @@
     reason : str
         Why.
     at_target : bool
-        Whether it was offered to a target.
+        Whether a target refused it, as opposed to this box or its placement.
     at_fault : str
-        The target that was the reason, by name or IP:PORT, if it is known to be another one than
-        the target that answers; else empty.
+        Name or IP:PORT of the helping target that caused the refusal, empty if there is none.
     """
 
     reason: str
@@ -61,12 +63,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AllLeave:
-    """All targets of the service leave.
+    """All targets of the service are leaving.
 
     Parameters
     ----------
     come_back_s : float
-        After so many seconds there may be another one.
+        Time until there may be a new target, in seconds.
     """
 
     come_back_s: float
@@ -74,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The request may have run, and its answer is lost in whole or in part."""
+    """The request may have run, and its answer is lost wholly or in part."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class FailedAnswer:
-    """The target ran the request and says that it failed; its whole answer."""
+    """The target ran the request and answered that it failed; holds the whole answer."""
 
     head: AnswerHead
     body: bytes
@@ -89,24 +91,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Withheld:
-    """Nothing was sent: what allowed it did not hold any more when its connection was there."""
+    """Nothing was sent: once the connection was ready, the request was no longer allowed."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class OverBudget:
-    """A further target would go beyond the repeats that this box may send."""
+    """The retry budget allows no further attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class Overtaken:
-    """Another try of the request has gone on sooner; this one may have run.
+    """Another attempt of the request made progress first; this one may have run.
 
     Parameters
     ----------
     failed : bool
-        Whether that speaks against its target: it was silent without known work that explains it.
+        Whether to count a failure of the target: no known work explains its silence.
     """
 
     failed: bool
@@ -128,7 +130,7 @@
 
 
 def work_change_of(end: TryEnd) -> int:
-    """Return the change by which other boxes are told how a try ended; see `gossip`."""
+    """Return the `gossip` change that tells other boxes how an attempt ended."""
     match end:
         case Done(outcome=Completed()):
             return gossip.ENDED
@@ -141,7 +143,7 @@
 
 
 def outcome_of_status(status: int) -> Outcome:
-    """Return the outcome of a request whose caller got an answer with this status."""
+    """Return the outcome of a request that was answered with this status."""
     if status < HTTPStatus.BAD_REQUEST:
         return Completed()
     return Failed("the target's answer", HTTPStatus(status))
