--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -55,8 +55,8 @@
 
 FAREWELL_S = 0.02
 """Interval between the two farewells that a stopping box sends to its peers, in seconds. Datagrams
-can be lost or reordered; the interval covers several round trips and the store call that deletes
-the box's entry."""
+can be lost or reordered; the interval covers several datagram delays and the store call that
+deletes the box's entry."""
 
 _log = logging.getLogger(__name__)
 
--- a/gladedrum/forward/hedging.py
+++ b/gladedrum/forward/hedging.py
@@ -88,7 +88,7 @@
     def set_reading(self, on: bool) -> None:
         """Pause or resume the silence checks, as the caller stops or resumes reading.
 
-        Targets are not read while the caller is too slow, so their silence means nothing then.
+        Targets are not read while the caller is too slow, so they only appear to be silent.
         """
         self._caller_reads = on
         self._hedge_wanted = self._hedge_wanted and on
--- a/gladedrum/forward/measures.py
+++ b/gladedrum/forward/measures.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a forwarding box."""
+"""The Prometheus metrics of a forwarding box."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -37,8 +37,8 @@
 __all__ = ["CallerGoneError", "EventRelay", "Relay", "WholeRelay", "caller_timeout_s"]
 
 PLAIN_SILENCE_FACTOR, PLAIN_SILENCE_MIN_S = 3.0, 0.5
-"""A plain request is hedged after this multiple of its objective, at least after so many
-seconds."""
+"""An idempotent plain request is hedged after this multiple of its objective, but not before so
+many seconds."""
 
 FIRST_EVENT_FACTOR, FIRST_EVENT_MARGIN_S = 1.3, 0.4
 """The first event of a resumable stream is late after this multiple of its predicted time plus so
--- a/gladedrum/forward/try_ends.py
+++ b/gladedrum/forward/try_ends.py
@@ -51,7 +51,7 @@
     reason : str
         Why.
     at_target : bool
-        Whether a target refused it, as opposed to this box or its placement.
+        Whether a target refused it or could not be reached; False if no target was asked.
     at_fault : str
         Name or IP:PORT of the helping target that caused the refusal, empty if there is none.
     """
