--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -1,8 +1,9 @@
-"""What a box believes of the operator's configuration, and since when.
+"""The box's copy of the operator's configuration, and its age.
 
-The belief carries the monotonic time at which the call that vouches for it was *sent*: everything
-that was acknowledged before that time is in it. Time of day plays no part. A store that has come
-back from a copy vouches for nothing until the operator has had the time to write again.
+The age counts from the monotonic time at which the call that last confirmed the copy was *sent*:
+the copy contains every change that the store acknowledged before then. Wall-clock time is never
+used. After a restore from an earlier copy, the store confirms nothing until the operator has had
+time to repeat lost writes.
 """
 
 import logging
@@ -21,51 +22,53 @@
 __all__ = ["ConfigurationKeeper"]
 
 WATCH_S = 1.1
-"""How long one watch for a new configuration waits, in seconds. Each is paid for and vouches for
-the configuration when it ends; well below the bound on keys, above the second in which a watch
-may hear nothing while the store forgets its history."""
+"""Duration of one watch for a newer configuration, in seconds. Each watch is paid for, and confirms
+the configuration when it ends. Well below the bound on keys; above the second in which a watch may
+miss that the store has dropped its history."""
 
-WATCH_LATE_S = 0.1
-"""How much later than it was to end a watch may be answered, in seconds: some times what a call
-takes. One that has not ended by then may have been lost with what it would have told."""
+WATCH_GRACE_S = 0.1
+"""How late the answer to a watch may be, in seconds; several times the duration of a call. After
+that the answer may have been lost, and a change with it."""
 
-BOUND_MARGIN_S = 0.15
-"""How long before the bound on changes a box reads the store itself if no peer has vouched, in
-seconds: some times what a read takes."""
+READ_MARGIN_S = 0.15
+"""How long before the bound on changes a box reads the store itself if no peer has confirmed the
+configuration, in seconds; several times the duration of a read."""
 
-FOLLOW_CHECK_S = 0.5
-"""How often a box that relies on its peers looks whether it still does, in seconds."""
+FOLLOW_CHECK_INTERVAL_S = 0.5
+"""Interval at which a box checks whether it can still rely on its peers, in seconds."""
 
-WRITTEN_AGAIN_S = 1.2
-"""How long a store that came back from a copy vouches for nothing, in seconds: the operator writes
-again what was lost, and a key that was taken away must not count as looked after meanwhile. With
-the end of a watch before, and a question to a peer after, that is less than the age from which a
-box calls itself not ready, 3 s. Boxes that rely on their peers go on doing so meanwhile: what they
-read themselves would be doubted, too."""
+RESTORE_DISTRUST_S = 1.2
+"""How long reads of a restored store confirm nothing, in seconds.
+
+The operator repeats lost writes in this time; until then, a key that was revoked could seem valid.
+Together with the watch before and the question to a peer after, it stays below the 3 s of age at
+which a box reports itself not ready. Boxes that rely on peers continue to, since their own reads
+would not count either.
+"""
 
 _log = logging.getLogger(__name__)
 
 
 class ConfigurationKeeper:
-    """Keeps the configuration in force; versions only rise.
+    """Follows the configuration; only a higher version replaces the one in force.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     feed : ConfigurationFeed
-        Where it is read.
+        Reads and watches the configuration.
     change_bound_s : float
-        After so many seconds a change must be in force.
+        Time within which a change must be in force, in seconds.
     pace : StorePace
-        How often the store is called.
+        Decides how often the store is called.
 
     Attributes
     ----------
     table : RouteTable or None
-        What is in force, None before the first.
+        The configuration in force; None before the first read.
     raw : bytes
-        The same as the operator wrote it, for peers.
+        The same as the operator wrote it, to send to peers.
     """
 
     def __init__(
@@ -78,107 +81,106 @@
         self._clock = clock
         self._feed = feed
         self._pace = pace
-        self._vouched_s = float("-inf")
+        self._confirmed_s = float("-inf")
         self._connected = True
         self._revision: Revision | None = None
-        self._doubted_until_s = float("-inf")
-        self._is_behind = False
+        self._distrusted_until_s = float("-inf")
+        self._store_is_behind = False
         self._watch_sent_s = float("-inf")
-        self._news: defer.Deferred[None] | None = None
-        self._newer_known = False
+        self._wakeup: defer.Deferred[None] | None = None
+        self._newer_version_known = False
         self.table: RouteTable | None = None
         self.raw = b""
         self.set_change_bound(change_bound_s)
 
     @property
     def age_s(self) -> float:
-        """Seconds since the call was sent that last vouched for the configuration."""
-        return self._clock.seconds() - self._vouched_s
+        """Seconds since the last call that confirmed the configuration was sent."""
+        return self._clock.seconds() - self._confirmed_s
 
     @property
     def is_current(self) -> bool:
-        """Whether a change that had to be in force by now would be.
+        """Whether every change that must be in force by now is in force.
 
-        A watch that waits tells a change at once, but vouches only when it ends: between two of
-        them the age goes up to twice what one waits. On a calm day every second request for a route
-        that does not exist was told to come back for that, and came back.
+        An open watch reports changes at once but confirms only when it ends, so the age may reach
+        twice its duration. An open watch that is not late therefore counts as current.
         """
         waiting_s = self._clock.seconds() - self._watch_sent_s
-        return self.age_s < self._change_bound_s or waiting_s < WATCH_S + WATCH_LATE_S
+        return self.age_s < self._change_bound_s or waiting_s < WATCH_S + WATCH_GRACE_S
 
     def set_change_bound(self, change_bound_s: float) -> None:
-        """Take over a changed bound."""
+        """Apply a changed bound."""
         self._change_bound_s = change_bound_s
-        self._most_age_s = change_bound_s - BOUND_MARGIN_S
+        self._max_age_s = change_bound_s - READ_MARGIN_S
 
     def note_era(self) -> None:
-        """Note that the store has come back from a copy: it is read whole, and doubted."""
+        """Read everything again after a restore of the store, and distrust it for a while."""
         self._revision = None
-        self._doubted_until_s = self._clock.seconds() + WRITTEN_AGAIN_S
-        self._is_behind = True
+        self._distrusted_until_s = self._clock.seconds() + RESTORE_DISTRUST_S
+        self._store_is_behind = True
 
     async def run(self) -> None:
         """Follow the configuration until cancelled."""
         while True:
             if self._may_rely_on_peers():
                 self._revision = None
-                await self._await_news()
+                await self._wait_for_peer_news()
                 continue
             try:
                 await self._call_store()
             except HistoryGoneError:
-                _log.info("history of the configuration is gone; reading it whole")
+                _log.info("history of the configuration was dropped; reading it in full")
                 self._revision = None
             except (KVUnavailableError, MalformedError) as exc:
-                self._note_lost(str(exc))
+                self._note_read_failure(str(exc))
                 self._revision = None
                 await sleep(self._clock, self._pace.retry_pause_s())
 
-    def take_peer_configuration(self, raw: bytes, vouched_s: float) -> None:
-        """Take a newer configuration that a peer has handed on, which it vouches for so."""
+    def apply_peer_configuration(self, raw: bytes, confirmed_s: float) -> None:
+        """Apply a newer configuration from a peer that was confirmed at `confirmed_s`."""
         try:
             table = self._feed.decode(raw)
         except MalformedError as exc:
-            _log.warning("configuration of a peer not read", extra={"reason": str(exc)})
+            _log.warning("cannot decode a peer's configuration", extra={"reason": str(exc)})
             return
         if self.table is not None and table.version <= self.table.version:
             return
         self._apply(table, raw)
-        self._newer_known = False
-        self._vouched_s = max(self._vouched_s, vouched_s)
+        self._newer_version_known = False
+        self._confirmed_s = max(self._confirmed_s, confirmed_s)
 
-    def take_peer_vouch(self, version: int, sent_s: float, age_s: float) -> None:
-        """Take what a peer answered to a question sent at `sent_s`.
+    def confirm_from_peer(self, version: int, sent_s: float, age_s: float) -> None:
+        """Apply a peer's answer to a question sent at `sent_s`.
 
-        The peer's age adds to the time since then: whatever was acknowledged before was in the
-        version that it names.
+        The peer's copy was `age_s` old when it answered, which was not before `sent_s`. So the
+        named version contains every change acknowledged before `sent_s - age_s`.
         """
         if self.table is None:
             return
         if version == self.table.version:
-            self._vouched_s = max(self._vouched_s, sent_s - age_s)
+            self._confirmed_s = max(self._confirmed_s, sent_s - age_s)
         elif version > self.table.version:
-            self._newer_known = True
-            if self._news is not None:
-                self._news.callback(None)
+            self._newer_version_known = True
+            if self._wakeup is not None:
+                self._wakeup.callback(None)
 
     def _may_rely_on_peers(self) -> bool:
-        known = self.table is not None and not self._newer_known
-        doubted = self._clock.seconds() < self._doubted_until_s + FOLLOW_CHECK_S
-        young = self.age_s < self._most_age_s or doubted
+        known = self.table is not None and not self._newer_version_known
+        distrusted = self._clock.seconds() < self._distrusted_until_s + FOLLOW_CHECK_INTERVAL_S
+        young = self.age_s < self._max_age_s or distrusted
         return known and young and self._pace.follows_peers()
 
-    async def _await_news(self) -> None:
-        """Wait until peers know a newer version, or it is time to look again."""
-        left_s = max(0.0, min(FOLLOW_CHECK_S, self._most_age_s - self.age_s))
-        if self._clock.seconds() < self._doubted_until_s + FOLLOW_CHECK_S:
-            left_s = FOLLOW_CHECK_S
-        self._news = defer.Deferred()
-        self._news.addTimeout(left_s, self._clock, onTimeoutCancel=lambda _result, _s: None)
+    async def _wait_for_peer_news(self) -> None:
+        """Wait until a peer reports a newer version or the next check is due."""
+        left_s = max(0.0, min(FOLLOW_CHECK_INTERVAL_S, self._max_age_s - self.age_s))
+        if self._clock.seconds() < self._distrusted_until_s + FOLLOW_CHECK_INTERVAL_S:
+            left_s = FOLLOW_CHECK_INTERVAL_S
+        self._wakeup = defer.Deferred()
+        self._wakeup.addTimeout(left_s, self._clock, onTimeoutCancel=lambda _result, _s: None)
         try:
-            await self._news
+            await self._wakeup
         finally:
-            self._news = None
+            self._wakeup = None
 
     async def _call_store(self) -> None:
         sent_s = self._clock.seconds()
@@ -187,25 +189,25 @@
         else:
             self._watch_sent_s = sent_s
             try:
-                news = await self._feed.watch(self._revision, self._watch_s(sent_s))
+                news = await self._feed.watch(self._revision, self._watch_duration_s(sent_s))
             finally:
                 self._watch_sent_s = float("-inf")
-        self._take(news, sent_s)
+        self._apply_news(news, sent_s)
 
-    def _watch_s(self, now_s: float) -> float:
-        """Return how long to watch: until what the store says counts again, if it is doubted."""
-        doubted_s = self._doubted_until_s - now_s
-        return min(WATCH_S, doubted_s) if doubted_s > 0 else WATCH_S
+    def _watch_duration_s(self, now_s: float) -> float:
+        """Return how long to watch; a watch ends when the store can be trusted again."""
+        distrusted_s = self._distrusted_until_s - now_s
+        return min(WATCH_S, distrusted_s) if distrusted_s > 0 else WATCH_S
 
-    def _take(self, news: ConfigurationNews, sent_s: float) -> None:
+    def _apply_news(self, news: ConfigurationNews, sent_s: float) -> None:
         self._revision = news.revision
-        self._newer_known = False
+        self._newer_version_known = False
         before = self.table
         self._apply(news.table, news.raw)
         if news.table is not None:
-            self._is_behind = news.table.version < self.table.version
-        is_doubted = sent_s < self._doubted_until_s and self.table is before
-        if not is_doubted and not self._is_behind:
+            self._store_is_behind = news.table.version < self.table.version
+        is_distrusted = sent_s < self._distrusted_until_s and self.table is before
+        if not is_distrusted and not self._store_is_behind:
             self._vouch(sent_s)
 
     def _apply(self, table: RouteTable | None, raw: bytes = b"") -> None:
@@ -224,9 +226,9 @@
         if not self._connected:
             _log.info("configuration read again", extra={"age_s": round(self.age_s, 3)})
         self._connected = True
-        self._vouched_s = max(self._vouched_s, sent_s)
+        self._confirmed_s = max(self._confirmed_s, sent_s)
 
-    def _note_lost(self, reason: str) -> None:
+    def _note_read_failure(self, reason: str) -> None:
         if self._connected:
             age_s = round(min(self.age_s, 1e6), 3)
             _log.warning("configuration not read", extra={"reason": reason, "age_s": age_s})
--- a/gladedrum/beliefs/list_parts.py
+++ b/gladedrum/beliefs/list_parts.py
@@ -1,33 +1,33 @@
-"""A list of targets in datagrams: whole, or as the difference from one that the other box has."""
+"""Encoding of the list of targets in datagrams: whole, or as a difference from a known list."""
 
 from collections.abc import Iterable, Mapping
 
 from ..fleet import TargetEntry
 from ..gossip.wire.ttypes import ListPart, TargetRow
 
-__all__ = ["ToldLists", "changed_list", "list_parts", "whole_list"]
+__all__ = ["SentLists", "changed_list", "list_parts", "whole_list"]
 
-ROWS_A_PART = 12
-"""Targets in one part of a list: a datagram of about 1,000 bytes."""
+ROWS_PER_PART = 12
+"""Targets per part, so that a part fits in one datagram of about 1,000 bytes."""
 
-KEPT_LISTS = 16
-"""Earlier lists from which a difference can be told: those of some seconds with many changes."""
+MAX_SENT_LISTS = 16
+"""Earlier lists that can be the base of a difference: several seconds of frequent changes."""
 
 
-class ToldLists:
-    """The lists that have been in force here of late, by their digests."""
+class SentLists:
+    """The latest lists of this box by digest, as bases for differences."""
 
     def __init__(self):
         self._lists: dict[str, Mapping[str, TargetEntry]] = {}
 
-    def keep(self, digest: str, entries: Mapping[str, TargetEntry]) -> None:
-        """Remember a list, for differences from it."""
+    def remember(self, digest: str, entries: Mapping[str, TargetEntry]) -> None:
+        """Add a list; the oldest one is dropped beyond `MAX_SENT_LISTS`."""
         self._lists.setdefault(digest, entries)
-        if len(self._lists) > KEPT_LISTS:
+        if len(self._lists) > MAX_SENT_LISTS:
             del self._lists[next(iter(self._lists))]
 
-    def known(self, digest: str) -> Mapping[str, TargetEntry] | None:
-        """Return a list, None if it is not remembered."""
+    def get(self, digest: str) -> Mapping[str, TargetEntry] | None:
+        """Return the list with this digest, or None if it was dropped."""
         return self._lists.get(digest)
 
 
@@ -37,18 +37,18 @@
     entries: Mapping[str, TargetEntry],
     age_s: float,
 ) -> list[ListPart]:
-    """Return what a box that has `before` lacks of `entries`; all of it if `before` is None."""
+    """Return the parts that turn `before` into `entries`; all of `entries` if it is None."""
     had = before or {}
     rows = [TargetRow(*e) for name, e in sorted(entries.items()) if had.get(name) != e]
     gone = sorted(had.keys() - entries.keys())
-    starts = range(0, max(1, len(rows)), ROWS_A_PART)
+    starts = range(0, max(1, len(rows)), ROWS_PER_PART)
     return [
         ListPart(
             ask_id,
             index,
             len(starts),
             age_s,
-            rows[first : first + ROWS_A_PART],
+            rows[first : first + ROWS_PER_PART],
             before is not None,
             gone if index == 0 else [],
         )
@@ -57,14 +57,14 @@
 
 
 def whole_list(parts: Iterable[ListPart]) -> dict[str, TargetEntry]:
-    """Return the entries in all parts."""
+    """Return the entries of all parts."""
     return {row.name: _entry_of(row) for part in parts for row in part.rows or ()}
 
 
 def changed_list(
     before: Mapping[str, TargetEntry], parts: Iterable[ListPart]
 ) -> dict[str, TargetEntry]:
-    """Return the list `before` with the differences in all parts."""
+    """Return `before` with the differences in `parts` applied."""
     parts = list(parts)
     gone = {name for part in parts for name in part.gone or ()}
     kept = {name: entry for name, entry in before.items() if name not in gone}
--- a/gladedrum/beliefs/membership.py
+++ b/gladedrum/beliefs/membership.py
@@ -1,9 +1,10 @@
-"""Which other boxes there are: some keep an entry in the store under a lease, the rest are heard.
+"""Membership: which other boxes exist, from entries in the store and from received datagrams.
 
-In a small fleet every box keeps an entry. In a large one only those do that may have to decide for
-the others, by their capacity: an entry of each would cost calls to the store, log lines and
-greetings that grow with the square of the fleet. The others are heard by the members when they ask,
-and have the list of entries from them.
+A registered box has an entry in the store under a lease. In a small fleet every box is registered.
+In a large one only the `REGISTERED_BOXES` boxes with the highest precedence (see `precedence`) are,
+because they may become coordinators; registering every box would cost store calls, log lines and
+greetings that grow with the square of the fleet. Other boxes are known from their datagrams, and
+receive the list of entries from the coordinators that they ask.
 """
 
 import contextlib
@@ -22,44 +23,45 @@
 from ..utils import sleep
 from .circle import SMALL_FLEET, precedence, rank
 
-__all__ = ["BoxEntry", "BoxRegistry", "digest_of", "sane_capacity"]
+__all__ = ["BoxEntry", "BoxRegistry", "digest_of", "valid_capacity"]
 
 BOXES_PREFIX = "gladedrum/boxes/"
 
 LEASE_RENEWALS = 3
-"""How many renewals a lease outlasts. Peers that are gone only cost datagrams until it ends."""
+"""A lease ends after this many missed renewals. Until then a lost peer only costs datagrams."""
 
-RENEW_S = 2.0
-"""How often the lease is renewed and the others are listed, in seconds."""
+RENEW_INTERVAL_S = 2.0
+"""Interval between renewals of the lease and reads of the list in a small fleet, in seconds."""
 
-ENTRIES = 14
-"""How many boxes of a large fleet keep an entry: enough that a circle is there after most of them
-are lost at once; more than `SMALL_FLEET`, so that all boxes can tell which kind of fleet it is; and
-so few that the others are told of all of them in one datagram of some 800 bytes. Of 195 boxes, 181
-make no lease, no entry and no renewals."""
+REGISTERED_BOXES = 14
+"""Number of registered boxes in a large fleet.
 
-TOLD_S = 4.0
-"""A box that keeps no entry reads the list of entries itself if no peer has told it for so long, in
-seconds: eight questions."""
+Enough to form a coordinator group after most of them are lost at once; more than `SMALL_FLEET`, so
+that every box can tell a large fleet from a small one; few enough that the list fits in one
+datagram.
+"""
+
+PEER_LIST_TIMEOUT_S = 4.0
+"""An unregistered box reads the list itself if no peer has sent it for this long, in seconds."""
 
-LARGE_RENEW_S = 5.0
-"""As `RENEW_S` in a large fleet, in seconds."""
+LARGE_FLEET_RENEW_INTERVAL_S = 5.0
+"""As `RENEW_INTERVAL_S`, in a large fleet."""
 
-ERA_SPREAD_S = 0.3
-"""Within so many seconds boxes look again when the store has come back from a copy: 14 boxes with
-an entry make four calls each, 190 a second of the 400 writing and 2,000 reading ones it takes."""
+RESTORE_JITTER_S = 0.3
+"""After a restore of the store, boxes read it again within this many seconds. The random delay
+keeps their calls below the rate that the store accepts."""
 
-HEARD_S = 6.0
-"""How long a box that is not listed counts as a peer after its last datagram, in seconds."""
+PEER_TIMEOUT_S = 6.0
+"""How long an unlisted box counts as a peer after its last datagram, in seconds."""
 
-PEERS_FOR_S = 0.5
-"""How often boxes that have fallen silent are looked for, in seconds."""
+PEER_CHECK_INTERVAL_S = 0.5
+"""Interval between checks for silent peers, in seconds."""
 
-MOST_CORES = 4096.0
-"""More cores than this are no capacity that a box can have."""
+MAX_CORES = 4096.0
+"""Largest plausible capacity of a box, in cores."""
 
-NAMES_LOGGED = 8
-"""Names that a log line about the list holds: after a loss of a whole fleet all have changed."""
+MAX_NAMES_LOGGED = 8
+"""Names in a log line about the list; after the loss of a whole fleet every name changes."""
 
 _RETRY_S = (0.5, 1.2)
 _STORE_ERRORS = (KVUnavailableError, KVUnknownError, KVConflictError)
@@ -68,7 +70,7 @@
 
 
 class BoxEntry(NamedTuple):
-    """A box that keeps an entry: where it takes datagrams, and the cores that it may use."""
+    """A registered box: the address that receives its datagrams, and the cores it may use."""
 
     host: str
     port: int
@@ -76,44 +78,48 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it takes datagrams."""
+        """Host and port that receive datagrams."""
         return self.host, self.port
 
 
-class _Heard(NamedTuple):
-    """Which box sent the last datagram from an address, and when."""
+class _LastDatagram(NamedTuple):
+    """The sender and the time of the last datagram from an address."""
 
     name: str
     at_s: float
 
 
 class BoxRegistry:
-    """This box's entry, and the list of the others.
+    """Keeps this box's entry in the store and the list of other boxes.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     store : StoreClient
-        Where the entries are.
+        Holds the entries.
     name : str
-        This start of this box; unique.
+        Unique name of this start of the box.
     address : (str, int)
-        Where its peers send datagrams.
+        Where this box receives datagrams.
     rng : random.Random
-        Spreads the calls of several boxes.
+        Adds jitter to store calls.
     capacity : float
         The cores that this box may use.
-    spread_s : float
-        Within so many seconds of its start it looks for the first time whether it is to keep an
-        entry; 0 to look at once.
+    stagger_s : float
+        On the first start of a fleet, each box delays its first registration check by a fixed
+        share of this time, in seconds; 0 checks at once.
 
     Attributes
     ----------
     entries : dict of str to BoxEntry
-        The other boxes that keep entries.
+        The other registered boxes.
     revision : Revision
-        The store's revision as of which they are listed, `NEVER` before the first.
+        Store revision of `entries`; `NEVER` before the first read.
+    on_listed : callable
+        Called when boxes were added to `entries`.
+    on_replaced : callable
+        Called with the name of a box that has ended or was replaced by a later start.
     """
 
     def __init__(
@@ -124,10 +130,10 @@
         address: tuple[str, int],
         rng: random.Random,
         capacity: float = 0.0,
-        spread_s: float = 0.0,
+        stagger_s: float = 0.0,
     ):
         self.name = name
-        self._spread_s = spread_s
+        self._stagger_s = stagger_s
         self.capacity = capacity
         self._clock = clock
         self._store = store
@@ -135,226 +141,236 @@
         self._rng = rng
         self._lease: Lease | None = None
         self._lease_s = 0.0
-        self._written = False
+        self._registered = False
         self._leaving = False
         self._connected = True
-        self._news: defer.Deferred[None] | None = None
+        self._wakeup: defer.Deferred[None] | None = None
         self.entries: dict[str, BoxEntry] = {}
         self.revision = NEVER
-        self._told_s = float("-inf")
-        self._heard: dict[tuple[str, int], _Heard] = {}
+        self._list_received_s = float("-inf")
+        self._last_datagrams: dict[tuple[str, int], _LastDatagram] = {}
         self._ended_s: dict[str, float] = {}
-        self._heard_capacity: dict[str, float] = {}
+        self._reported_capacity: dict[str, float] = {}
         self._peers: dict[str, tuple[str, int]] = {}
-        self._peers_at_s = float("-inf")
+        self._peers_updated_s = float("-inf")
         self.on_listed: Callable[[], None] = lambda: None
         self.on_replaced: Callable[[str], None] = lambda _name: None
 
     @property
     def peers(self) -> dict[str, tuple[str, int]]:
-        """The other boxes' addresses: those that keep an entry, and those heard lately.
+        """Addresses of the other boxes: registered ones, and senders of recent datagrams.
 
-        A box that comes, or comes back, is heard before the others read the list again. The same
-        mapping is returned until a box comes or goes.
+        Datagrams reveal a new or restarted box before the list does. The same mapping is returned
+        until a box joins or leaves.
         """
-        if self._clock.seconds() - self._peers_at_s >= PEERS_FOR_S:
-            self._find_peers()
+        if self._clock.seconds() - self._peers_updated_s >= PEER_CHECK_INTERVAL_S:
+            self._update_peers()
         return self._peers
 
     def capacity_of(self, name: str) -> float:
-        """Return the cores that a box may use, 0 if it has not told them."""
+        """Return the cores that a box may use; 0 if unknown."""
         if name == self.name:
             return self.capacity
         entry = self.entries.get(name)
-        return entry.capacity if entry is not None else self._heard_capacity.get(name, 0.0)
+        return entry.capacity if entry is not None else self._reported_capacity.get(name, 0.0)
 
     def note_heard(
         self, name: str, address: tuple[str, int], capacity: float | None = None
     ) -> None:
-        """Note a datagram of another box; an earlier start at that address is over."""
-        before = self._heard.get(address)
-        self._heard[address] = _Heard(name, self._clock.seconds())
+        """Record a datagram from a box; it replaces any earlier start at the same address."""
+        before = self._last_datagrams.get(address)
+        self._last_datagrams[address] = _LastDatagram(name, self._clock.seconds())
         self._ended_s.pop(name, None)
         if before is None or before.name != name:
-            self._find_peers()
+            self._update_peers()
         if before is not None and before.name != name:
             self.on_replaced(before.name)
-        if capacity is not None and self.capacity_of(name) != sane_capacity(capacity):
-            self._heard_capacity[name] = sane_capacity(capacity)
-            self._find_peers(reordered=True)
+        if capacity is not None and self.capacity_of(name) != valid_capacity(capacity):
+            self._reported_capacity[name] = valid_capacity(capacity)
+            self._update_peers(reordered=True)
 
     def note_ended(self, name: str, address: tuple[str, int]) -> None:
-        """Note that a box has ended as planned; it counts again if it is heard again."""
-        before = self._heard.get(address)
+        """Record a planned stop; the box counts again once another datagram arrives from it."""
+        before = self._last_datagrams.get(address)
         if before is not None and before.name == name:
-            del self._heard[address]
+            del self._last_datagrams[address]
         self._ended_s[name] = self._clock.seconds()
-        self._find_peers()
+        self._update_peers()
         self.on_replaced(name)
 
-    def take_told(self, entries: Mapping[str, BoxEntry] | None, revision: Revision) -> bool:
-        """Take a peer's list of entries as of a revision of the store; return whether it is newer.
+    def receive_entries(self, entries: Mapping[str, BoxEntry] | None, revision: Revision) -> bool:
+        """Apply a peer's list of entries; return whether it is newer than this box's list.
 
-        None if this box has the same one. Members read the list at different times, so an older
-        one than this box's own is passed over.
+        `entries` is None if both lists are equal. Coordinators read the list at different times,
+        so older revisions are ignored.
         """
-        self._told_s = self._clock.seconds()
+        self._list_received_s = self._clock.seconds()
         if entries is None or revision <= self.revision:
             return False
         self.revision = revision
-        self._take_entries(entries)
+        self._replace_entries(entries)
         return True
 
     @property
     def digest(self) -> str:
-        """What stands for the list of entries that this box has."""
+        """Digest of `entries`, to compare it with a peer's list."""
         return digest_of(self.entries)
 
     @property
-    def told_entries(self) -> dict[str, BoxEntry]:
-        """The entries that count, with this box's own, as boxes without one are told them.
+    def entries_to_send(self) -> dict[str, BoxEntry]:
+        """The entries with the highest precedence, this box's included, for unregistered boxes.
 
-        While a fleet starts there are more, since many list the entries before any is there.
+        While a fleet starts, the store may hold more than `REGISTERED_BOXES`, since many boxes
+        read an empty list and register.
         """
-        own = {self.name: BoxEntry(*self._address, self.capacity)} if self._written else {}
+        own = {self.name: BoxEntry(*self._address, self.capacity)} if self._registered else {}
         entries = {**self.entries, **own}
         first = sorted(entries, key=lambda name: precedence(name, entries[name].capacity))
-        return {name: entries[name] for name in first[:ENTRIES]}
+        return {name: entries[name] for name in first[:REGISTERED_BOXES]}
 
     @property
-    def keeps_entry(self) -> bool:
+    def is_registered(self) -> bool:
         """Whether this box has an entry in the store."""
-        return self._written
+        return self._registered
 
     @property
     def count(self) -> int:
-        """How many boxes are known, this one included."""
+        """Number of known boxes, this one included."""
         return len(self.peers) + 1
 
-    def _find_peers(self, reordered: bool = False) -> None:
-        """Find who the peers are; `reordered` if a capacity has changed, which orders them."""
-        now_s = self._peers_at_s = self._clock.seconds()
-        self._heard = {a: h for a, h in self._heard.items() if now_s - h.at_s < HEARD_S}
-        # Its entry may be listed for a while yet, or for as long as the store is away.
+    def _update_peers(self, reordered: bool = False) -> None:
+        """Update `peers`; `reordered` if capacities changed, which affects precedence."""
+        now_s = self._peers_updated_s = self._clock.seconds()
+        self._last_datagrams = {
+            a: h for a, h in self._last_datagrams.items() if now_s - h.at_s < PEER_TIMEOUT_S
+        }
+        # The entry of an ended box may remain listed, for example while the store is unavailable.
         self._ended_s = {
-            n: s for n, s in self._ended_s.items() if n in self.entries or now_s - s < HEARD_S
+            n: s
+            for n, s in self._ended_s.items()
+            if n in self.entries or now_s - s < PEER_TIMEOUT_S
         }
-        names = {heard.name for heard in self._heard.values()}
-        self._heard_capacity = {n: c for n, c in self._heard_capacity.items() if n in names}
+        names = {heard.name for heard in self._last_datagrams.values()}
+        self._reported_capacity = {n: c for n, c in self._reported_capacity.items() if n in names}
         listed = {
             n: e.address
             for n, e in self.entries.items()
-            if e.address not in self._heard and n not in self._ended_s
+            if e.address not in self._last_datagrams and n not in self._ended_s
+        }
+        peers = {
+            **listed,
+            **{heard.name: address for address, heard in self._last_datagrams.items()},
         }
-        peers = {**listed, **{heard.name: address for address, heard in self._heard.items()}}
         if reordered or peers != self._peers:
             self._peers = peers
 
     async def run(self) -> None:
-        """Keep the entry and the list until cancelled."""
-        if self._spread_s and self.revision != NEVER:
-            await self._await_turn()
+        """Keep the entry and the list up to date until cancelled."""
+        if self._stagger_s and self.revision != NEVER:
+            await self._wait_for_turn()
         while not self._leaving:
             try:
-                await self._keep_up()
+                await self._refresh()
                 self._connected = True
             except _STORE_ERRORS as exc:
                 if isinstance(exc, KVConflictError):
                     self._lease = None
                 if self._connected:
-                    _log.warning("list of boxes not kept up", extra={"reason": str(exc)})
+                    _log.warning("cannot update the list of boxes", extra={"reason": str(exc)})
                 self._connected = False
                 await sleep(self._clock, self._rng.uniform(*_RETRY_S))
                 continue
-            await self._pause(self._renew_s * self._rng.uniform(0.8, 1.0))
+            await self._pause(self._renew_interval_s * self._rng.uniform(0.8, 1.0))
         await sleep(self._clock, 3600)
 
     async def _pause(self, pause_s: float) -> None:
-        """Wait for the next look, which comes at once when the store has come back from a copy."""
-        self._news = defer.Deferred()
-        self._news.addTimeout(pause_s, self._clock, onTimeoutCancel=lambda _result, _s: None)
+        """Wait before the next refresh; a restore of the store ends the wait early."""
+        self._wakeup = defer.Deferred()
+        self._wakeup.addTimeout(pause_s, self._clock, onTimeoutCancel=lambda _result, _s: None)
         try:
-            await self._news
+            await self._wakeup
         finally:
-            self._news = None
+            self._wakeup = None
 
     def note_era(self) -> None:
-        """Note that the store has come back from a copy: this box's lease is no more.
+        """Discard the lease after the store was restored from an earlier copy.
 
-        Its number may be another box's by now, so it is neither renewed nor ended. The entry is
-        written anew, and the others' are read, at a time of its own within `ERA_SPREAD_S`.
+        The store may have reissued the lease's number to another box, so it is neither renewed nor
+        ended. The next refresh, within `RESTORE_JITTER_S`, registers again and reads the list.
         """
-        self._lease, self._written = None, False
-        if self._news is not None:
-            self._clock.callLater(self._rng.uniform(0.0, ERA_SPREAD_S), self._wake, self._news)
+        self._lease, self._registered = None, False
+        if self._wakeup is not None:
+            self._clock.callLater(
+                self._rng.uniform(0.0, RESTORE_JITTER_S), self._wake, self._wakeup
+            )
 
-    def _wake(self, news: defer.Deferred[None]) -> None:
-        if news is self._news and not news.called:
-            news.callback(None)
+    def _wake(self, wakeup: defer.Deferred[None]) -> None:
+        if wakeup is self._wakeup and not wakeup.called:
+            wakeup.callback(None)
 
-    async def _await_turn(self) -> None:
-        """Wait until the boxes have written their entries that come before this one, and list them.
+    async def _wait_for_turn(self) -> None:
+        """Wait until boxes of higher precedence have registered, then read the list.
 
-        The list may be seconds old, and costs a tenth for that: at worst an entry too many is
-        written, and given up at the next look.
+        A stale read is cheaper. At worst this box registers needlessly and unregisters at its next
+        refresh.
         """
         share = int.from_bytes(rank(self.name)) / 2 ** (8 * len(rank(self.name)))
-        await sleep(self._clock, share * self._spread_s)
+        await sleep(self._clock, share * self._stagger_s)
         with contextlib.suppress(*_STORE_ERRORS):
             await self._list()
 
-    async def _keep_up(self) -> None:
-        """Read the list of entries, unless a peer has told it, and keep this box's if needed."""
+    async def _refresh(self) -> None:
+        """Read the list unless a peer has sent it, and register or unregister this box."""
         first = self.revision == NEVER
         if first:
             await self._list()
-        if self._is_needed():
+        if self._should_register():
             is_new = await self._renew()
-            # After the entry is written: of two boxes that start at once, one sees the other.
+            # Read after writing: if two boxes start at once, at least one sees the other.
             await self._list(fresh=is_new)
             return
-        await self._give_up_entry()
-        if not first and self._clock.seconds() - self._told_s >= TOLD_S:
+        await self._unregister()
+        if not first and self._clock.seconds() - self._list_received_s >= PEER_LIST_TIMEOUT_S:
             await self._list()
 
-    def _is_needed(self) -> bool:
-        """Whether fewer boxes than are to keep entries come before this one."""
+    def _should_register(self) -> bool:
+        """Whether fewer than `REGISTERED_BOXES` boxes have a higher precedence."""
         mine = precedence(self.name, self.capacity)
         before = sum(precedence(n, e.capacity) < mine for n, e in self.entries.items())
-        return before < ENTRIES
+        return before < REGISTERED_BOXES
 
     async def leave(self) -> None:
-        """Remove this box's entry."""
+        """Remove this box's entry before it stops."""
         self._leaving = True
-        await self._give_up_entry()
+        await self._unregister()
 
-    async def _give_up_entry(self) -> None:
+    async def _unregister(self) -> None:
         if self._lease is None:
             return
-        lease, self._lease, self._written = self._lease, None, False
+        lease, self._lease, self._registered = self._lease, None, False
         try:
             await self._store.end_lease(lease)
         except _STORE_ERRORS as exc:
-            _log.warning("entry of this box not removed", extra={"reason": str(exc)})
+            _log.warning("cannot remove this box's entry", extra={"reason": str(exc)})
 
     @property
-    def _renew_s(self) -> float:
-        return LARGE_RENEW_S if self.count > SMALL_FLEET else RENEW_S
+    def _renew_interval_s(self) -> float:
+        return LARGE_FLEET_RENEW_INTERVAL_S if self.count > SMALL_FLEET else RENEW_INTERVAL_S
 
     async def _renew(self) -> bool:
-        """Keep this box's entry; return whether it was written anew."""
-        lease_s = LEASE_RENEWALS * self._renew_s
-        if self._lease is not None and self._written and lease_s <= self._lease_s:
+        """Renew the lease or write a new entry; return whether the entry is new."""
+        lease_s = LEASE_RENEWALS * self._renew_interval_s
+        if self._lease is not None and self._registered and lease_s <= self._lease_s:
             await self._store.keep_lease(self._lease)
             return False
-        # Known before the entry is written, so that a stop in between ends it all the same.
+        # Stored before the entry is written, so that a stop in between still ends the lease.
         self._lease = await self._store.grant_lease(lease_s)
         self._lease_s = lease_s
-        self._written = False
+        self._registered = False
         row = {"host": self._address[0], "port": self._address[1], "capacity": self.capacity}
         value = json.dumps(row).encode()
         await self._store.transact({}, {BOXES_PREFIX + self.name: value}, lease=self._lease)
-        self._written = True
+        self._registered = True
         return True
 
     async def _list(self, fresh: bool = False) -> None:
@@ -366,42 +382,46 @@
         latest: dict[tuple[str, int], tuple[str, BoxEntry]] = {}
         for item in sorted(listing.items, key=lambda item: item.revision):
             entry = _entry_of(json.loads(item.value or b"{}"))
-            # Of several starts of a box, which share an address, the last counts.
+            # Several starts of a box share an address: the latest one counts.
             latest[entry.address] = item.key.removeprefix(BOXES_PREFIX), entry
         latest.pop(self._address, None)
-        self._take_entries(dict(latest.values()))
+        self._replace_entries(dict(latest.values()))
 
-    def _take_entries(self, entries: Mapping[str, BoxEntry]) -> None:
-        """Put another list of entries in force."""
+    def _replace_entries(self, entries: Mapping[str, BoxEntry]) -> None:
+        """Replace `entries`, and report boxes that were added."""
         others = {n: e for n, e in entries.items() if e.address != self._address}
         if others == self.entries:
             return
-        come, gone = (
+        added, removed = (
             sorted(others.keys() - self.entries.keys()),
             sorted(self.entries.keys() - others.keys()),
         )
         _log.info(
             "boxes listed",
-            extra={"boxes": len(others), "come": come[:NAMES_LOGGED], "gone": gone[:NAMES_LOGGED]},
+            extra={
+                "boxes": len(others),
+                "come": added[:MAX_NAMES_LOGGED],
+                "gone": removed[:MAX_NAMES_LOGGED],
+            },
         )
         self.entries = others
-        self._find_peers(reordered=True)
-        if come:
+        self._update_peers(reordered=True)
+        if added:
             self.on_listed()
 
 
-def sane_capacity(told: object) -> float:
-    """Return a capacity that a box has told; one that is missing or absurd counts as none."""
-    if isinstance(told, bool) or not isinstance(told, int | float):
+def valid_capacity(reported: object) -> float:
+    """Return a capacity reported by a box, or 0 if it is missing or implausible."""
+    if isinstance(reported, bool) or not isinstance(reported, int | float):
         return 0.0
-    return float(told) if 0.0 < told <= MOST_CORES else 0.0
+    return float(reported) if 0.0 < reported <= MAX_CORES else 0.0
 
 
 def digest_of(entries: Mapping[str, BoxEntry]) -> str:
-    """Return what stands for a list of entries; equal for equal ones."""
+    """Return a digest of a list of entries; equal lists have equal digests."""
     rows = repr(sorted(entries.items())).encode()
     return hashlib.blake2b(rows, digest_size=8).hexdigest()
 
 
 def _entry_of(row: dict[str, object]) -> BoxEntry:
-    return BoxEntry(str(row["host"]), int(row["port"]), sane_capacity(row.get("capacity")))
+    return BoxEntry(str(row["host"]), int(row["port"]), valid_capacity(row.get("capacity")))
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -1,4 +1,4 @@
-"""What a box believes from the store: configuration, targets, table and the other boxes."""
+"""The box's copies of what the store holds: configuration, targets, table and other boxes."""
 
 import logging
 import random
@@ -24,47 +24,48 @@
 
 _log = logging.getLogger(__name__)
 
-INTRODUCED_WITHIN_S = 0.03
-"""How long a box that starts waits for its seeds before it calls the store, in seconds: two
-questions and answers between data halls. A fleet that starts as a whole waits so long in vain."""
+SEED_TIMEOUT_S = 0.03
+"""How long a starting box waits for its seeds before it calls the store, in seconds: two round
+trips between data halls."""
 
-FIRST_START_WITHIN_S = 4.0
-"""As `INTRODUCED_WITHIN_S` where the whole fleet starts for the first time, in seconds: callers
-come later, and the seeds read the store for all. 72 boxes made 662 calls in five seconds without
-this wait, and pay for 260 at most (in virtual time)."""
+FIRST_START_SEED_TIMEOUT_S = 4.0
+"""As `SEED_TIMEOUT_S` when the whole fleet starts for the first time: the seeds read the store for
+all boxes, and callers come later."""
 
-FIRST_START_SPREAD_S = 5.0
-"""Over how many seconds the boxes of such a fleet look whether they are to keep an entry, one after
-the other: each then knows of the entries before it."""
+FIRST_START_STAGGER_S = 5.0
+"""Time over which the boxes of such a fleet check one after another whether to register, so that
+each knows the entries before it, in seconds."""
 
-SPREAD_MARGIN_S = 1.0
-"""How long after that time a box takes the entries that it knows for all, in seconds."""
+FIRST_START_MARGIN_S = 1.0
+"""How long after the stagger a box assumes that its list of entries is complete, in seconds."""
 
-PEERS_WITHIN_S = 3.0
-"""How long a box that knows targets, and no other box, does nothing for the fleet, in seconds: it
-may be one of hundreds that have started at once while the store was away. 195 boxes that each took
-itself for the only one read the load of 150 engines twice a second each: 25,000 reports too many
-and 7,000 connections in the second after an outage."""
+PEER_DISCOVERY_TIMEOUT_S = 3.0
+"""How long a box that knows targets but no peers does no work on behalf of the fleet, in seconds.
 
-INTRODUCED_CHECK_S = 0.003
-"""How often it looks whether they have answered, in seconds."""
+It may be one of hundreds that started at once during an outage of the store; if each took itself
+for the only box, all of them would read the load of every engine.
+"""
+
+SEED_CHECK_INTERVAL_S = 0.003
+"""Interval at which a starting box checks for answers of its seeds, in seconds."""
 
 
 class BeliefSettings(Protocol):
-    """What beliefs need of the settings.
+    """The settings used by this package.
 
     Parameters
     ----------
     peers : (str, int)
-        Where this box hears others.
+        Where this box receives datagrams.
     change_bound_s, leave_bound_s : float
-        After so long a changed configuration must be in force; a leaving target get nothing.
+        Time within which a changed configuration must be in force, and after which a leaving
+        target must get no requests, in seconds.
     capacity : float
         The cores that this box may use.
     seeds : sequence of (str, int)
-        Where other boxes may be asked at the start.
+        Boxes to ask at the start.
     waits_for_seeds : bool
-        Whether the whole fleet starts for the first time, and this box is no seed.
+        Whether the whole fleet starts for the first time and this box is not a seed.
     """
 
     peers: tuple[str, int]
@@ -76,7 +77,7 @@
 
 
 class StoreBeliefs:
-    """The parts that follow the store.
+    """Creates and connects everything that follows the store.
 
     Parameters
     ----------
@@ -85,26 +86,26 @@
     store : StoreClient
         The store.
     box : str
-        This start of this box.
+        Unique name of this start of the box.
     settings : BeliefSettings
-        The bounds, and where peers are heard.
+        Bounds, addresses and capacity.
     rng : random.Random
-        Spreads the calls of several boxes.
+        Adds jitter to store calls.
     on_gone, on_listed : callable
-        Called with each target that has gone for good; that is new, or has started again.
+        Called with each target that was removed; with each that is new or has started again.
 
     Attributes
     ----------
     configuration, targets : ConfigurationKeeper, TargetKeeper
-        The operator's configuration; the list of targets.
+        Followers of the operator's configuration and of the list of targets.
     table, table_store, table_follower : TableInForce, TableStore, TableFollower
-        The table of weights and limits, where it is kept, what follows it.
+        The table of weights and limits, its storage and its follower.
     registry : BoxRegistry
-        The other boxes.
+        Membership of the fleet.
     circle : Circle
-        Which of them hear of all work.
+        The coordinator group.
     pace : StorePace
-        How often the store is called.
+        Decides how often the store is called.
     """
 
     def __init__(
@@ -118,16 +119,16 @@
         on_listed: Callable[[TargetEntry], None] = lambda _entry: None,
     ):
         self._clock = reactor
-        self._informed_s: float | None = None
-        self._alone_s = reactor.seconds() + _introduced_within_s(settings)
-        self._spread_until_s = float("-inf")
+        self._informed_at_s: float | None = None
+        self._seed_deadline_s = reactor.seconds() + _seed_timeout_s(settings)
+        self._stagger_until_s = float("-inf")
         if settings.waits_for_seeds:
-            self._spread_until_s = reactor.seconds() + FIRST_START_SPREAD_S + SPREAD_MARGIN_S
+            self._stagger_until_s = reactor.seconds() + FIRST_START_STAGGER_S + FIRST_START_MARGIN_S
         self.table = TableInForce(reactor)
         self.table_store = TableStore(store)
-        spread_s = FIRST_START_SPREAD_S if settings.waits_for_seeds else 0.0
+        stagger_s = FIRST_START_STAGGER_S if settings.waits_for_seeds else 0.0
         self.registry = BoxRegistry(
-            reactor, store, box, settings.peers, rng, settings.capacity, spread_s
+            reactor, store, box, settings.peers, rng, settings.capacity, stagger_s
         )
         self.circle = Circle(box, lambda: self.registry.peers, self.registry.capacity_of)
         self.table_follower = TableFollower(reactor, store, self.table, self.circle.excludes_me)
@@ -141,21 +142,21 @@
             reactor, TargetFeed(store), settings.leave_bound_s, on_gone, self.pace, on_listed
         )
 
-        store.on_era.append(self._note_era)
+        store.on_era.append(self._on_store_restored)
 
-    def _note_era(self, before: int, era: int) -> None:
-        """Have each part look again: the store has come back from a copy of itself."""
+    def _on_store_restored(self, before: int, era: int) -> None:
+        """Notify every follower that the store was restored from an earlier copy."""
         extra = {
             "era": era,
             "before": before,
-            "entry_written_anew": self.registry.keeps_entry,
+            "entry_written_anew": self.registry.is_registered,
             "list_as_of": self.registry.revision.number,
             "version": self.configuration.table.version if self.configuration.table else None,
             "targets": len(self.targets.entries),
             "table_revision": self.table.table.revision,
             "edits_held": len(self.table.held),
         }
-        _log.warning("the store has come back from a copy", extra=extra)
+        _log.warning("the store was restored from an earlier copy", extra=extra)
         self.configuration.note_era()
         self.targets.note_era()
         self.registry.note_era()
@@ -163,73 +164,73 @@
 
     @property
     def is_informed(self) -> bool:
-        """Whether it is known where requests go."""
+        """Whether this box has a configuration and a list of targets."""
         return self.configuration.table is not None and bool(self.targets.entries)
 
     def knows_peers(self) -> bool:
-        """Whether it is known who the other boxes are, or that cannot be learnt."""
+        """Whether the other boxes are known, or the time to discover them is over."""
         if self.registry.revision != NEVER:
             return True
         if not self.is_informed:
             return False
-        if self._informed_s is None:
-            self._informed_s = self._clock.seconds()
-        return self._clock.seconds() - self._informed_s >= PEERS_WITHIN_S
+        if self._informed_at_s is None:
+            self._informed_at_s = self._clock.seconds()
+        return self._clock.seconds() - self._informed_at_s >= PEER_DISCOVERY_TIMEOUT_S
 
     def children(self) -> list[Child]:
-        """Return what is to run."""
+        """Return the tasks to supervise."""
         return [
-            Child("configuration", lambda: self._run_introduced(self.configuration.run)),
-            Child("targets", lambda: self._run_introduced(self.targets.run)),
-            Child("table", lambda: self._run_introduced(self.table_follower.run)),
+            Child("configuration", lambda: self._run_after_seeds(self.configuration.run)),
+            Child("targets", lambda: self._run_after_seeds(self.targets.run)),
+            Child("table", lambda: self._run_after_seeds(self.table_follower.run)),
             Child("registry", self._run_registry),
         ]
 
-    async def _run_introduced(self, run: Callable[[], Awaitable[None]]) -> None:
-        """Run a part that calls the store, once peers have told what it would read or do not."""
-        while not self._is_introduced() and self._clock.seconds() < self._alone_s:
-            await sleep(self._clock, INTRODUCED_CHECK_S)
-        # Until the entries are there a large fleet looks like a small one, in which each box reads.
-        while self._is_introduced() and self._clock.seconds() < self._spread_until_s:
-            await sleep(self._clock, SPREAD_MARGIN_S / 2)
+    async def _run_after_seeds(self, run: Callable[[], Awaitable[None]]) -> None:
+        """Run a task that calls the store, after peers have sent its data or failed to answer."""
+        while not self._has_peer_state() and self._clock.seconds() < self._seed_deadline_s:
+            await sleep(self._clock, SEED_CHECK_INTERVAL_S)
+        # Until boxes have registered, a large fleet looks like a small one in which all boxes read.
+        while self._has_peer_state() and self._clock.seconds() < self._stagger_until_s:
+            await sleep(self._clock, FIRST_START_MARGIN_S / 2)
         await run()
 
     async def _run_registry(self) -> None:
-        while self.registry.revision == NEVER and self._clock.seconds() < self._alone_s:
-            await sleep(self._clock, INTRODUCED_CHECK_S)
+        while self.registry.revision == NEVER and self._clock.seconds() < self._seed_deadline_s:
+            await sleep(self._clock, SEED_CHECK_INTERVAL_S)
         await self.registry.run()
 
-    def _is_introduced(self) -> bool:
+    def _has_peer_state(self) -> bool:
         return self.is_informed and self.registry.revision != NEVER
 
     def set_bounds(self, settings: BeliefSettings) -> None:
-        """Take over changed bounds."""
+        """Apply changed bounds."""
         self.configuration.set_change_bound(settings.change_bound_s)
         self.targets.set_leave_bound(settings.leave_bound_s)
 
     def limits(self) -> CallerLimits:
-        """Return what callers are held to."""
+        """Return the limits on callers."""
         table = self.configuration.table
         return table.limits if table is not None else CallerLimits()
 
     def service(self, name: str) -> Service:
-        """Return what is known of a service."""
+        """Return the configuration of a service, or defaults if it has none."""
         table = self.configuration.table
         known = table.services.get(name) if table is not None else None
         return known or Service(name)
 
     def policy(self, organisation: str, route: str) -> str:
-        """Return the policy that the table names for an organisation and a route."""
+        """Return the name of the policy for an organisation and a route."""
         return self.table.table.effective(organisation, route).name("policy")
 
     def engines(self) -> list[TargetEntry]:
-        """Return the targets that are model engines."""
+        """Return the targets whose service is configured as an engine."""
         entries = self.targets.entries.values()
         return [entry for entry in entries if self.service(entry.service).engine is not None]
 
 
-def _introduced_within_s(settings: BeliefSettings) -> float:
-    """Return how long a box that starts waits for its seeds, in seconds."""
+def _seed_timeout_s(settings: BeliefSettings) -> float:
+    """Return how long a starting box waits for its seeds, in seconds."""
     if not settings.seeds:
         return 0.0
-    return FIRST_START_WITHIN_S if settings.waits_for_seeds else INTRODUCED_WITHIN_S
+    return FIRST_START_SEED_TIMEOUT_S if settings.waits_for_seeds else SEED_TIMEOUT_S
--- a/gladedrum/beliefs/store_pace.py
+++ b/gladedrum/beliefs/store_pace.py
@@ -1,4 +1,4 @@
-"""How often a box calls the store: who leaves that to its peers, when a failed call is repeated."""
+"""Frequency of a box's calls to the store: when it relies on peers, and when it retries."""
 
 import random
 from collections.abc import Callable
@@ -8,34 +8,33 @@
 __all__ = ["StorePace"]
 
 RETRY_S = (0.1, 0.3)
-"""Pause after a failed call, in seconds: the sooner the store's return is noticed, the fewer
-requests with keys are refused; each call is paid for."""
+"""Range of the pause after a failed call, in seconds. Short, because requests with keys may be
+refused until the box reaches the store again; not shorter, because each call is paid for."""
 
 RETRY_WITH_PEERS_S = (1.2, 2.0)
-"""As `RETRY_S` for a box whose peers answer, in seconds: they tell of the store's return."""
+"""As `RETRY_S` while peers answer: they report when the store is back."""
 
-RETRY_IN_LARGE_S = (2.5, 4.0)
-"""As `RETRY_WITH_PEERS_S` for a box outside the circle of a large fleet: four members look for the
-store's return, and 195 boxes that all do made 1,700 calls in an outage of 8 s. Below the least time
-for which a box must have reached the store before it is held to its bounds."""
+LARGE_FLEET_RETRY_S = (2.5, 4.0)
+"""As `RETRY_WITH_PEERS_S` outside the coordinator group of a large fleet, whose members detect the
+store's return. Shorter than the minimum time without contact after which the bounds apply."""
 
-PEERS_SILENT_S = 1.5
-"""Peers whose last answer is older than this, in seconds, do not answer any more."""
+PEER_SILENCE_S = 1.5
+"""Peers count as unreachable once their last answer is older than this, in seconds."""
 
 
 class StorePace:
-    """What the beliefs of a box share about their calls to the store.
+    """Decides how often the followers of configuration and targets call the store.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     rng : random.Random
-        Spreads the repeats of several boxes.
+        Adds jitter to retries.
     follows_peers : callable
-        Whether this box leaves the reading to peers that vouch for what they read.
+        Returns whether this box relies on peers that read the store.
     follows_list : callable
-        The same for the list of targets alone.
+        As `follows_peers`, for the list of targets alone.
     """
 
     def __init__(
@@ -49,25 +48,25 @@
         self.follows_list = follows_list
         self._clock = clock
         self._rng = rng
-        self._peer_heard_s = float("-inf")
+        self._peer_answered_s = float("-inf")
 
-    def note_peer(self, sent_s: float) -> None:
-        """Note that a peer has answered a question sent at `sent_s`."""
-        self._peer_heard_s = max(self._peer_heard_s, sent_s)
+    def note_peer_answer(self, sent_s: float) -> None:
+        """Record that a peer answered a question sent at `sent_s`."""
+        self._peer_answered_s = max(self._peer_answered_s, sent_s)
 
     def retry_pause_s(self) -> float:
-        """Return how long to wait after a failed call, in seconds."""
+        """Return the pause after a failed call, in seconds."""
         return self._retry_pause_s(self.follows_peers())
 
     def list_retry_pause_s(self) -> float:
-        """Return how long to wait after a failed read of the list of targets, in seconds."""
+        """Return the pause after a failed read of the list of targets, in seconds."""
         return self._retry_pause_s(self.follows_list())
 
     def _retry_pause_s(self, follows: bool) -> float:
-        silent_s = self._clock.seconds() - self._peer_heard_s
-        alone = silent_s > PEERS_SILENT_S or not follows
+        silent_s = self._clock.seconds() - self._peer_answered_s
+        alone = silent_s > PEER_SILENCE_S or not follows
         if alone:
             return self._rng.uniform(*RETRY_S)
         return self._rng.uniform(
-            *(RETRY_IN_LARGE_S if self.follows_peers() else RETRY_WITH_PEERS_S)
+            *(LARGE_FLEET_RETRY_S if self.follows_peers() else RETRY_WITH_PEERS_S)
         )
--- a/gladedrum/beliefs/tests/test_beliefs.py
+++ b/gladedrum/beliefs/tests/test_beliefs.py
@@ -111,7 +111,7 @@
     clock, feed, kept, _running = follower()
     for _ in range(40):
         clock.advance(0.5)
-        kept.take_peer_vouch(5, clock.seconds(), 0.3)
+        kept.confirm_from_peer(5, clock.seconds(), 0.3)
     assert feed.calls == ["read"]
     assert kept.age_s <= 0.3 + 1e-9
 
@@ -121,7 +121,7 @@
     clock, feed, kept, _running = follower()
     for _ in range(8):
         clock.advance(0.5)
-        kept.take_peer_vouch(5, clock.seconds(), 0.0)
+        kept.confirm_from_peer(5, clock.seconds(), 0.0)
     assert feed.calls == ["read"]
     clock.pump([0.1] * 19)
     assert feed.calls == ["read", "read"]
@@ -133,13 +133,13 @@
     clock, feed, kept, _running = follower()
     for _ in range(8):
         clock.advance(0.25)
-        kept.take_peer_vouch(5, clock.seconds(), 60.0)
+        kept.confirm_from_peer(5, clock.seconds(), 60.0)
     assert feed.calls == ["read", "read"]
 
 
 def test_a_box_reads_at_once_what_a_peer_knows_newer_and_a_stop_ends_the_task():
     _clock, feed, kept, running = follower()
-    kept.take_peer_vouch(6, 0.0, 0.0)
+    kept.confirm_from_peer(6, 0.0, 0.0)
     assert feed.calls == ["read", "read"]
     feed.pending.callback(ConfigurationNews(RouteTable(6), 11))
     assert kept.table.version == 6
@@ -153,8 +153,8 @@
     clock, feed, kept, _running = follower()
     for _ in range(40):
         clock.advance(0.25)
-        kept._pace.note_peer(clock.seconds())
-        kept.take_peer_vouch(5, clock.seconds(), clock.seconds())
+        kept._pace.note_peer_answer(clock.seconds())
+        kept.confirm_from_peer(5, clock.seconds(), clock.seconds())
         if not feed.pending.called:
             feed.pending.errback(KVUnavailableError("down"))
     assert 4 <= len(feed.calls) <= 9
@@ -180,10 +180,10 @@
     """Thundering herd: 195 boxes that started together wrote 41,000 lines about 155 targets."""
     caplog.set_level("INFO")
     _clock, _feed, kept, _gone = target_keeper()
-    kept._take({f"t{i}": entry(f"t{i}") for i in range(155)}, 0.0)
+    kept._apply_read({f"t{i}": entry(f"t{i}") for i in range(155)}, 0.0)
     assert [record.message for record in caplog.records] == ["targets listed"]
     caplog.clear()
-    kept._take({f"t{i}": entry(f"t{i}") for i in range(1, 156)}, 1.0)
+    kept._apply_read({f"t{i}": entry(f"t{i}") for i in range(1, 156)}, 1.0)
     assert sorted(record.message for record in caplog.records) == ["target gone", "target listed"]
 
 
@@ -233,10 +233,10 @@
     answer(clock, feed, [entry("a"), entry("b")])
     assert gone == ["c"]
     listed = {e.name: e for e in (entry("a"), entry("c"), entry("d"))}
-    kept.take_peer_list(listed, clock.seconds())
+    kept.apply_peer_list(listed, clock.seconds())
     assert sorted(kept.entries) == ["a", "d"]
     assert gone == ["c", "b"]
-    kept.take_peer_list({"b": entry("b")}, clock.seconds() - 5.0)
+    kept.apply_peer_list({"b": entry("b")}, clock.seconds() - 5.0)
     assert sorted(kept.entries) == ["a", "d"]
 
 
@@ -246,7 +246,7 @@
     answer(clock, feed, [entry("a")])
     answer(clock, feed, [entry("a"), entry("b")])
     assert kept.may_get_work("b")
-    kept.take_peer_list({e.name: e for e in (entry("a"), entry("b"))}, clock.seconds())
+    kept.apply_peer_list({e.name: e for e in (entry("a"), entry("b"))}, clock.seconds())
     assert kept.may_get_work("b")
 
 
@@ -261,7 +261,7 @@
     for _ in range(50):
         clock.advance(0.1)
         if vouched:
-            kept.take_peer_vouch(kept.digest, clock.seconds(), 0.8)
+            kept.confirm_from_peer(kept.digest, clock.seconds(), 0.8)
         if not feed.pending.called:
             feed.pending.callback({"t": entry("t")})
         assert kept.age_s < LEAVE_BOUND_S
--- a/gladedrum/beliefs/tests/test_first_start.py
+++ b/gladedrum/beliefs/tests/test_first_start.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gladedrum.beliefs.membership import ENTRIES
+from gladedrum.beliefs.membership import REGISTERED_BOXES
 from gladedrum.beliefs.tests.fleet import VirtualFleet
 
 BOXES = 72
@@ -36,7 +36,7 @@
 
 
 def test_as_many_boxes_keep_entries_as_are_wanted(fleet):
-    assert ENTRIES <= len(fleet.store.keys("gladedrum/boxes/")) <= ENTRIES + 8
+    assert REGISTERED_BOXES <= len(fleet.store.keys("gladedrum/boxes/")) <= REGISTERED_BOXES + 8
 
 
 def test_without_its_seeds_a_fleet_starts_all_the_same():
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -10,8 +10,8 @@
 
 from gladedrum.beliefs import membership
 from gladedrum.beliefs.circle import CIRCLE_SIZE, SMALL_FLEET
-from gladedrum.beliefs.membership import BOXES_PREFIX, ENTRIES
-from gladedrum.beliefs.store_beliefs import PEERS_WITHIN_S
+from gladedrum.beliefs.membership import BOXES_PREFIX, REGISTERED_BOXES
+from gladedrum.beliefs.store_beliefs import PEER_DISCOVERY_TIMEOUT_S
 from gladedrum.beliefs.tests.fleet import VirtualFleet
 from gladedrum.errors import KVUnavailableError
 from gladedrum.platform.store import NEVER
@@ -38,7 +38,7 @@
 
 
 def test_few_boxes_keep_an_entry_and_all_agree_who_decides(fleet):
-    assert len(fleet.store.keys(BOXES_PREFIX)) == ENTRIES
+    assert len(fleet.store.keys(BOXES_PREFIX)) == REGISTERED_BOXES
     circles = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
     assert len(circles) == 1
     (members,) = circles
@@ -116,7 +116,7 @@
     fleet.run(0.5)
     assert box.beliefs.is_informed
     assert not box.beliefs.knows_peers()
-    fleet.run(PEERS_WITHIN_S + 0.1)
+    fleet.run(PEER_DISCOVERY_TIMEOUT_S + 0.1)
     assert box.beliefs.knows_peers()
 
 
@@ -140,7 +140,7 @@
     for box in list(fleet.boxes.values()):
         if box.beliefs.registry.name in members:
             box.stop()
-    fleet.run(membership.LEASE_RENEWALS * membership.LARGE_RENEW_S + 12.0)
+    fleet.run(membership.LEASE_RENEWALS * membership.LARGE_FLEET_RENEW_INTERVAL_S + 12.0)
     circles = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
     assert len(circles) == 1
     assert not members & set(next(iter(circles)))
@@ -159,7 +159,7 @@
     fleet.store.go_back()
     fleet.run(3.0)
     assert {box.store.era for box in fleet.boxes.values()} == {2}
-    assert len(fleet.store.keys(BOXES_PREFIX)) >= ENTRIES
+    assert len(fleet.store.keys(BOXES_PREFIX)) >= REGISTERED_BOXES
     assert sum((fleet.store.calls - before).values()) <= 4 * BOXES
     assert all(box.beliefs.configuration.age_s < 3.0 for box in fleet.boxes.values())
     beliefs = [box.beliefs for box in fleet.boxes.values()]
--- a/gladedrum/beliefs/tests/test_lapsed_entries.py
+++ b/gladedrum/beliefs/tests/test_lapsed_entries.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.target_list import RETURN_S, TargetKeeper
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetKeeper
 from gladedrum.beliefs.tests.test_beliefs import ScriptedFeed, answer, entry, pace
 from gladedrum.errors import KVUnavailableError
 from gladedrum.utils import start
@@ -34,11 +34,11 @@
 
 def test_a_peers_shorter_list_does_not_end_what_may_come_back():
     clock, _feed, kept = after_an_outage()
-    kept.take_peer_list(SHORT, clock.seconds())
+    kept.apply_peer_list(SHORT, clock.seconds())
     assert kept.may_get_work("b")
     assert not kept.is_certain
-    clock.advance(RETURN_S)
-    kept.take_peer_list(SHORT, clock.seconds())
+    clock.advance(REAPPEAR_GRACE_S)
+    kept.apply_peer_list(SHORT, clock.seconds())
     assert not kept.may_get_work("b")
     assert kept.is_certain
 
@@ -50,22 +50,22 @@
     answer(clock, feed, list(BOTH.values()), 2.0)
     feed.pending.errback(KVUnavailableError("down"))
     clock.advance(5.0)
-    kept.take_peer_list(SHORT, clock.seconds())
+    kept.apply_peer_list(SHORT, clock.seconds())
     assert kept.may_get_work("b")
-    clock.advance(RETURN_S)
-    kept.take_peer_list(SHORT, clock.seconds())
+    clock.advance(REAPPEAR_GRACE_S)
+    kept.apply_peer_list(SHORT, clock.seconds())
     assert not kept.may_get_work("b")
 
 
 def test_what_is_gone_here_and_listed_by_peers_is_read_from_the_store():
     clock, feed, kept = after_an_outage()
-    clock.advance(RETURN_S)
+    clock.advance(REAPPEAR_GRACE_S)
     answer(clock, feed, list(SHORT.values()), 0.1)
     assert not kept.may_get_work("b")
     reads = len(feed.calls)
     for _ in range(5):
         clock.advance(1.0)
-        kept.take_peer_list(BOTH, clock.seconds())
+        kept.apply_peer_list(BOTH, clock.seconds())
     assert len(feed.calls) > reads
     answer(clock, feed, list(BOTH.values()))
     assert kept.may_get_work("b")
--- a/gladedrum/beliefs/tests/test_lapsed_review.py
+++ b/gladedrum/beliefs/tests/test_lapsed_review.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.target_list import RETURN_S, TargetKeeper
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetKeeper
 from gladedrum.beliefs.tests.test_beliefs import ScriptedFeed, answer, entry, pace
 from gladedrum.errors import KVUnavailableError
 from gladedrum.utils import start
@@ -25,14 +25,14 @@
     """A list with a target that is gone here does not count as read, so an older one came after."""
     clock, _feed, kept, gone = follower(A, B)
     clock.advance(0.5)
-    kept.take_peer_list({"a": A}, 0.4)
+    kept.apply_peer_list({"a": A}, 0.4)
     assert gone == ["b"]
     clock.advance(0.6)
     # b is back under its name, and c is new: a list of 1.0.
-    kept.take_peer_list({"a": A, "b": B, "c": C}, 1.0)
+    kept.apply_peer_list({"a": A, "b": B, "c": C}, 1.0)
     assert kept.may_get_work("c")
     # The list of another reader, of 0.8.
-    kept.take_peer_list({"a": A, "b": B}, 0.8)
+    kept.apply_peer_list({"a": A, "b": B}, 0.8)
     assert kept.may_get_work("c")
     assert gone == ["b"]
 
@@ -42,16 +42,16 @@
     clock, feed, kept, _gone = follower(A, B)
     clock.advance(1.6)
     feed.pending.errback(KVUnavailableError("down"))
-    kept.take_peer_list({"a": A, "b": B}, 0.05)
+    kept.apply_peer_list({"a": A, "b": B}, 0.05)
     for _ in range(6):
         clock.advance(1.3)
         if not feed.pending.called:
             feed.pending.errback(KVUnavailableError("down"))
     # The store is back; a peer that started in the outage knows a part of the entries.
-    kept.take_peer_list({"a": A}, clock.seconds())
+    kept.apply_peer_list({"a": A}, clock.seconds())
     assert kept.may_get_work("b")
-    clock.advance(RETURN_S)
-    kept.take_peer_list({"a": A}, clock.seconds())
+    clock.advance(REAPPEAR_GRACE_S)
+    kept.apply_peer_list({"a": A}, clock.seconds())
     assert not kept.may_get_work("b")
 
 
@@ -59,10 +59,10 @@
     """Its reads failed in turn with peers' lists, and each list seemed to end another outage."""
     clock, feed, kept, _gone = follower(A, B)
     gone_s = 10.0
-    while clock.seconds() < gone_s + 2 * RETURN_S:
+    while clock.seconds() < gone_s + 2 * REAPPEAR_GRACE_S:
         clock.advance(0.1)
         if not feed.pending.called:
             feed.pending.errback(KVUnavailableError("cut off"))
         read_s = clock.seconds() - 1.4
-        kept.take_peer_list({"a": A} if read_s >= gone_s else {"a": A, "b": B}, read_s)
+        kept.apply_peer_list({"a": A} if read_s >= gone_s else {"a": A, "b": B}, read_s)
     assert not kept.may_get_work("b")
--- a/gladedrum/beliefs/tests/test_membership.py
+++ b/gladedrum/beliefs/tests/test_membership.py
@@ -8,11 +8,11 @@
 from gladedrum.beliefs import membership
 from gladedrum.beliefs.circle import SMALL_FLEET
 from gladedrum.beliefs.membership import (
-    ENTRIES,
-    HEARD_S,
+    PEER_TIMEOUT_S,
+    REGISTERED_BOXES,
     BoxEntry,
     BoxRegistry,
-    sane_capacity,
+    valid_capacity,
 )
 from gladedrum.platform import NEVER
 from gladedrum.platform.tests.store_case import StoreCase
@@ -53,7 +53,7 @@
         assert first.peers == {"b.1": ("127.0.0.1", 2)}
 
     async def test_an_entry_that_lapsed_in_a_cut_is_made_anew(self):
-        self.patch(membership, "RENEW_S", 0.05)
+        self.patch(membership, "RENEW_INTERVAL_S", 0.05)
         registry = self.box("a.1", 1)
         while not self.service._entries:
             await sleep(reactor, 0.01)
@@ -66,9 +66,11 @@
         registry = self.box("a.1", 1)
         registry.note_heard("b.1", ("127.0.0.1", 2))
         assert registry.count == 2
-        self.patch(membership, "PEERS_FOR_S", 0.0)
+        self.patch(membership, "PEER_CHECK_INTERVAL_S", 0.0)
         place = ("127.0.0.1", 2)
-        registry._heard[place] = registry._heard[place]._replace(at_s=reactor.seconds() - HEARD_S)
+        registry._last_datagrams[place] = registry._last_datagrams[place]._replace(
+            at_s=reactor.seconds() - PEER_TIMEOUT_S
+        )
         assert registry.count == 1
 
     async def test_an_earlier_start_of_a_box_counts_no_more(self):
@@ -109,63 +111,63 @@
             await sleep(reactor, 0.01)
 
     async def test_a_box_that_enough_others_come_before_keeps_no_entry(self):
-        self.list_boxes(ENTRIES, capacity=2.0)
+        self.list_boxes(REGISTERED_BOXES, capacity=2.0)
         small = self.box("small.1", 1, capacity=0.5)
         await self.until(lambda: small.revision != NEVER)
         self.box("large.1", 2, capacity=4.0)
         await self.until(lambda: "large.1" in self.keys())
         assert "small.1" not in self.keys()
-        assert not small.keeps_entry
-        assert len(small.peers) == ENTRIES
+        assert not small.is_registered
+        assert len(small.peers) == REGISTERED_BOXES
 
     async def test_a_box_takes_an_entry_when_those_before_it_go(self):
-        self.patch(membership, "LARGE_RENEW_S", 0.05)
-        self.patch(membership, "RENEW_S", 0.05)
-        self.patch(membership, "TOLD_S", 0.0)
-        self.list_boxes(ENTRIES, capacity=2.0)
+        self.patch(membership, "LARGE_FLEET_RENEW_INTERVAL_S", 0.05)
+        self.patch(membership, "RENEW_INTERVAL_S", 0.05)
+        self.patch(membership, "PEER_LIST_TIMEOUT_S", 0.0)
+        self.list_boxes(REGISTERED_BOXES, capacity=2.0)
         small = self.box("small.1", 1, capacity=0.5)
         await self.until(lambda: small.revision != NEVER)
         self.service.remove(f"{membership.BOXES_PREFIX}x0.1")
         await self.until(lambda: "small.1" in self.keys())
 
     async def test_a_box_gives_its_entry_up_when_enough_larger_ones_have_come(self):
-        self.patch(membership, "LARGE_RENEW_S", 0.05)
-        self.patch(membership, "RENEW_S", 0.05)
+        self.patch(membership, "LARGE_FLEET_RENEW_INTERVAL_S", 0.05)
+        self.patch(membership, "RENEW_INTERVAL_S", 0.05)
         small = self.box("small.1", 1, capacity=0.5)
-        await self.until(lambda: small.keeps_entry)
-        self.list_boxes(ENTRIES, capacity=2.0)
+        await self.until(lambda: small.is_registered)
+        self.list_boxes(REGISTERED_BOXES, capacity=2.0)
         await self.until(lambda: "small.1" not in self.keys())
-        assert not small.keeps_entry
+        assert not small.is_registered
 
     async def test_a_box_without_entry_is_told_the_list_and_reads_none(self):
-        self.list_boxes(ENTRIES, capacity=2.0)
+        self.list_boxes(REGISTERED_BOXES, capacity=2.0)
         small = self.box("small.1", 1, capacity=0.5)
         await self.until(lambda: small.revision != NEVER)
         told = {"y.1": BoxEntry("127.0.0.1", 99, 8.0)}
-        small.take_told(told, shifted(small.revision, -1))
-        assert len(small.entries) == ENTRIES
-        small.take_told(told, shifted(small.revision, 1))
+        small.receive_entries(told, shifted(small.revision, -1))
+        assert len(small.entries) == REGISTERED_BOXES
+        small.receive_entries(told, shifted(small.revision, 1))
         assert small.entries == told
         assert small.capacity_of("y.1") == 8.0
         self.service.stop()
-        await small._keep_up()
+        await small._refresh()
 
     async def test_a_box_that_is_told_the_list_does_not_take_an_entry_for_what_it_is_not_told(self):
         """Found by a play of 195 boxes: told of too few entries, all took one every 5 s."""
-        self.list_boxes(3 * ENTRIES, capacity=2.0)
+        self.list_boxes(3 * REGISTERED_BOXES, capacity=2.0)
         member = self.box("large.1", 2, capacity=4.0)
-        await self.until(lambda: member.keeps_entry and member.entries)
+        await self.until(lambda: member.is_registered and member.entries)
         small = self.box("small.1", 1, capacity=0.5)
         await self.until(lambda: small.revision != NEVER)
-        assert small.take_told(member.told_entries, shifted(small.revision, 1))
+        assert small.receive_entries(member.entries_to_send, shifted(small.revision, 1))
         assert len(small.peers) > SMALL_FLEET
-        await small._keep_up()
-        assert not small.keeps_entry
+        await small._refresh()
+        assert not small.is_registered
         assert "small.1" not in self.keys()
 
     async def test_a_capacity_that_is_missing_or_absurd_counts_as_none(self):
         absurd = (None, True, -1, float("nan"), float("inf"), 1e9, "4", [])
-        assert {sane_capacity(told) for told in absurd} == {0.0}
+        assert {valid_capacity(told) for told in absurd} == {0.0}
         self.service.write(membership.BOXES_PREFIX + "b.1", b'{"host": "127.0.0.1", "port": 2}')
         first = self.box("a.1", 1)
         await self.until(lambda: first.entries)
--- a/gladedrum/beliefs/tests/test_reborn_entries.py
+++ b/gladedrum/beliefs/tests/test_reborn_entries.py
@@ -35,11 +35,11 @@
 
     def read(self, *entries):
         self.clock.advance(0.5)
-        self.keeper._take({e.name: e for e in entries}, self.clock.seconds())
+        self.keeper._apply_read({e.name: e for e in entries}, self.clock.seconds())
 
     def told(self, *entries):
         self.clock.advance(0.5)
-        self.keeper.take_peer_list({e.name: e for e in entries}, self.clock.seconds())
+        self.keeper.apply_peer_list({e.name: e for e in entries}, self.clock.seconds())
 
     def now(self, name="t1"):
         return self.keeper.entries.get(name)
--- a/gladedrum/beliefs/tests/test_said_leaving.py
+++ b/gladedrum/beliefs/tests/test_said_leaving.py
@@ -4,7 +4,7 @@
 outage the list of the store is old, and the copy that it comes back from may be older.
 """
 
-from gladedrum.beliefs.target_list import GONE_HELD_S, RETURN_S
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, RESTORE_HOLD_S
 from gladedrum.beliefs.tests.test_reborn_entries import NEW, OLD, Listed, entry
 
 
@@ -36,7 +36,7 @@
     listed = said()
     listed.keeper.note_era()
     listed.read(entry(OLD, name="t2"))
-    for pause_s in (RETURN_S, GONE_HELD_S, 10.0):
+    for pause_s in (REAPPEAR_GRACE_S, RESTORE_HOLD_S, 10.0):
         listed.clock.advance(pause_s)
         listed.read(entry(OLD), entry(OLD, name="t2"))
         assert not listed.keeper.may_get_work("t1")
@@ -81,7 +81,7 @@
     listed = Listed(entry(OLD), entry(OLD, name="t2"))
     old_s = listed.clock.seconds() - 5.0
     peers = (entry(OLD, leaving=True), entry(OLD, name="t2"))
-    listed.keeper.take_peer_list({e.name: e for e in peers}, old_s)
+    listed.keeper.apply_peer_list({e.name: e for e in peers}, old_s)
     assert not listed.keeper.may_get_work("t1")
     assert listed.keeper.may_get_work("t2")
     assert listed.keeper.age_s < 5.0
--- a/gladedrum/beliefs/tests/test_store_from_copy.py
+++ b/gladedrum/beliefs/tests/test_store_from_copy.py
@@ -15,7 +15,7 @@
 from gladedrum.beliefs.configuration import ConfigurationKeeper
 from gladedrum.beliefs.membership import BOXES_PREFIX, BoxRegistry
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import RETURN_S, TargetKeeper
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetKeeper
 from gladedrum.platform.feeds import ConfigurationFeed, TargetFeed
 from gladedrum.platform.tests.store_case import StoreCase
 from gladedrum.routes import Organisation, RouteTable
@@ -103,12 +103,12 @@
         kept = self.configuration()
         assert await self.until(lambda: kept.table is not None)
         self.service.go_back(2.5)
-        vouched_s = kept._vouched_s
+        vouched_s = kept._confirmed_s
         for _ in range(40):
             await sleep(reactor, 0.05)
             assert kept.table.version == 2
         # What a copy says is no word on what was changed since.
-        assert kept._vouched_s <= vouched_s + 1.3
+        assert kept._confirmed_s <= vouched_s + 1.3
         assert await self.until(lambda: kept.age_s < 0.5, 4.0)
 
 
@@ -138,7 +138,7 @@
         await first.leave()
         await sleep(reactor, 0.2)
         assert "b.1" in self.entry_names()
-        assert second.keeps_entry
+        assert second.is_registered
 
 
 class TargetsFromCopyTest(FromCopyCase):
@@ -151,7 +151,7 @@
         kept = self.targets()
         assert await self.until(lambda: "t2" in kept.entries)
         self.service.go_back(None)
-        for _ in range(round((RETURN_S - 1.0) / 0.05)):
+        for _ in range(round((REAPPEAR_GRACE_S - 1.0) / 0.05)):
             await sleep(reactor, 0.05)
             assert kept.may_get_work("t2")
         self.write_target("t2")
--- a/gladedrum/beliefs/tests/test_vouching.py
+++ b/gladedrum/beliefs/tests/test_vouching.py
@@ -6,7 +6,7 @@
 
 from gladedrum.beliefs.circle import SMALL_FLEET
 from gladedrum.beliefs.configuration import ConfigurationKeeper
-from gladedrum.beliefs.configuration_parts import HandedConfiguration, configuration_parts
+from gladedrum.beliefs.configuration_parts import ReceivedConfiguration, configuration_parts
 from gladedrum.beliefs.membership import BoxEntry, BoxRegistry
 from gladedrum.beliefs.store_pace import StorePace
 from gladedrum.beliefs.target_list import TargetKeeper
@@ -318,7 +318,7 @@
     assert len(wire.handed) == 5
     assert asker._configuration.table.version == 4
     assert asker._configuration.age_s == 0.5
-    assert not asker._configuration._newer_known
+    assert not asker._configuration._newer_version_known
     asker, wire = hand_on(3, 3, b"3")
     assert not wire.handed
 
@@ -327,21 +327,21 @@
     for raw, lost in ((b"4".rjust(5_000), (2,)), (b"4".rjust(200_000), ())):
         asker, _wire = hand_on(4, 3, raw, lost)
         assert asker._configuration.table.version == 3
-        assert asker._configuration._newer_known
+        assert asker._configuration._newer_version_known
 
 
 def test_parts_of_another_version_than_the_one_vouched_for_are_not_taken():
-    handed = HandedConfiguration()
+    handed = ReceivedConfiguration()
     old, new = configuration_parts(4, b"x" * 3_000), configuration_parts(5, b"y" * 2_500)
-    handed.take(old[:2])
-    handed.take(new[:1])
-    handed.take(old[2:])
-    assert handed.whole(4) is None
-    assert handed.whole(5) is None
-    handed.take(new[1:])
-    assert handed.whole(5) == b"y" * 2_500
-    handed.take([ConfigurationPart(6, 5, 3, b""), ConfigurationPart(6, 0, 10**6, b"")])
-    assert handed.whole(5) == b"y" * 2_500
+    handed.add(old[:2])
+    handed.add(new[:1])
+    handed.add(old[2:])
+    assert handed.assemble(4) is None
+    assert handed.assemble(5) is None
+    handed.add(new[1:])
+    assert handed.assemble(5) == b"y" * 2_500
+    handed.add([ConfigurationPart(6, 5, 3, b""), ConfigurationPart(6, 0, 10**6, b"")])
+    assert handed.assemble(5) == b"y" * 2_500
 
 
 def test_a_box_that_starts_is_told_the_members_by_any_box_and_all_else_by_a_member():
@@ -354,7 +354,7 @@
     seed._registry.revision = Revision(0, 7)
     fresh, wire = box(clock, False, 0, read_s=0.0, targets=())
     fresh._configuration.table, fresh._configuration._feed = None, JsonFeed()
-    fresh._targets._read_s = fresh._configuration._vouched_s = float("-inf")
+    fresh._targets._read_s = fresh._configuration._confirmed_s = float("-inf")
     fresh._seeds = [("10.0.0.3", 3)]
     start(fresh.run())
     seed.take(Gossip("a", vouch_asks=wire.asks[:1]), ("10.0.0.2", 2))
