--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -1,8 +1,7 @@
-"""A fleet of boxes in virtual time, as far as their beliefs go: one clock, a store, datagrams.
+"""Simulated fleet for tests: the real state followers of many boxes on one virtual clock.
 
-No sockets and no processes: the real parts of each box run on one clock. The store answers after a
-while, counts its calls, may be away, and drops what hangs on a lease that is over. Datagrams need a
-way of their own.
+No sockets and no processes. The store answers after a delay, counts calls, can be unavailable,
+expires leases and can be restored from a copy. Datagrams take `DATAGRAM_DELAY_S`.
 """
 
 import json
@@ -30,14 +29,14 @@
 from gladedrum.utils import sleep, start
 
 CALL_S = 0.006
-"""A call to the store and back."""
-WAY_S = 0.0014
-"""A datagram between data halls."""
+"""Duration of a call to the store, in seconds."""
+DATAGRAM_DELAY_S = 0.0014
+"""Delay of a datagram between data halls, in seconds."""
 STEP_S = 0.002
 
 
 class StoreCalls:
-    """One box's calls to a `VirtualStore`, which learn of its era from the answers."""
+    """One box's client of a `VirtualStore`; reports a new store epoch like the real client."""
 
     def __init__(self, store: "VirtualStore"):
         self._store = store
@@ -64,7 +63,7 @@
 
 
 class VirtualStore:
-    """The store's calls that boxes make, on a clock; `calls` counts them by kind."""
+    """In-memory store on a virtual clock; `calls` counts calls by kind."""
 
     def __init__(self, clock: Clock):
         self.clock = clock
@@ -86,7 +85,7 @@
         self._copy = self.revision, self._next_lease, [dict(row) for row in rows]
 
     def go_back(self) -> None:
-        """Come back from the copy; targets and the operator write again at once."""
+        """Restore the copy; targets and the operator repeat their writes at once."""
         written = {
             key: item.value
             for key, item in self._items.items()
@@ -186,7 +185,7 @@
 
 
 class NoLosses:
-    """Stands for what a box knows of requests that end targets: nothing."""
+    """Stands in for the requests known to crash targets: there are none."""
 
     checksum = 0
     is_informed = True
@@ -199,7 +198,7 @@
 
 
 class VirtualBox:
-    """One start of a box: what it believes, and its datagrams."""
+    """One start of a box: its state followers, peer synchronisation and datagrams."""
 
     def __init__(self, fleet: "VirtualFleet", number: int, generation: int, seeds: tuple):
         self.fleet = fleet
@@ -251,16 +250,16 @@
             task.addErrback(lambda failure: failure.trap(defer.CancelledError))
 
     def make_losses(self):
-        """Return what the box knows of requests that end targets."""
+        """Return the requests known to crash targets."""
         return NoLosses()
 
     def leave(self) -> None:
-        """Begin a planned stop: the box serves on."""
+        """Begin a planned stop; the box still serves."""
         if not self.beliefs.circle.is_whole_fleet:
             start(self.beliefs.registry.leave())
 
     def end(self) -> None:
-        """End a planned stop."""
+        """Complete a planned stop."""
         start(self.beliefs.registry.leave())
         self.port.say_farewell()
         self.stop()
@@ -276,18 +275,20 @@
         return -1 if table is None else table.version
 
     def _send(self, data: bytes, address: tuple[str, int]) -> None:
-        self.fleet.clock.callLater(WAY_S, self.fleet.deliver, data, self.address, address)
+        self.fleet.clock.callLater(
+            DATAGRAM_DELAY_S, self.fleet.deliver, data, self.address, address
+        )
 
-    def _take(self, told, address) -> None:
-        if is_farewell(told):
-            self.beliefs.registry.note_ended(told.box, address)
+    def _take(self, received, address) -> None:
+        if is_farewell(received):
+            self.beliefs.registry.note_ended(received.box, address)
             return
-        self.beliefs.registry.note_heard(told.box, address, told.capacity)
-        self.vouching.take(told, address)
+        self.beliefs.registry.note_heard(received.box, address, received.capacity)
+        self.vouching.take(received, address)
 
 
 class VirtualFleet:
-    """Boxes on one clock; `box_class` is what each of them is."""
+    """Boxes on one virtual clock; `box_class` is the class of each."""
 
     box_class = VirtualBox
 
--- a/gladedrum/beliefs/tests/test_beliefs.py
+++ b/gladedrum/beliefs/tests/test_beliefs.py
@@ -1,4 +1,4 @@
-"""Beliefs only move forward, and their age counts from the call that vouches for them."""
+"""Configuration and target list: versions never decrease, ages count from the confirming call."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class ScriptedFeed:
-    """Notes each call; the test answers it."""
+    """Records each call; the test resolves it."""
 
     def __init__(self):
         self.calls = []
@@ -42,119 +42,119 @@
     return StorePace(clock, random.Random(1), lambda: follows, lambda: follows_list)
 
 
-def keeper():
+def configuration_follower():
     clock, feed = Clock(), ScriptedFeed()
-    kept = ConfigurationKeeper(clock, feed, CHANGE_BOUND_S, pace(clock))
-    start(kept.run())
-    return clock, feed, kept
+    configuration = ConfigurationKeeper(clock, feed, CHANGE_BOUND_S, pace(clock))
+    start(configuration.run())
+    return clock, feed, configuration
 
 
-def test_age_counts_from_the_sending_of_the_call():
-    clock, feed, kept = keeper()
+def test_age_counts_from_when_the_call_was_sent():
+    clock, feed, configuration = configuration_follower()
     clock.advance(0.7)
     feed.pending.callback(ConfigurationNews(RouteTable(1), 10))
-    assert kept.table.version == 1
-    assert kept.age_s == 0.7
+    assert configuration.table.version == 1
+    assert configuration.age_s == 0.7
 
 
-def test_a_lower_version_never_comes_into_force():
-    _clock, feed, kept = keeper()
+def test_a_lower_version_is_never_applied():
+    _clock, feed, configuration = configuration_follower()
     feed.pending.callback(ConfigurationNews(RouteTable(5), 10))
     feed.pending.callback(ConfigurationNews(RouteTable(4), 11))
     feed.pending.callback(ConfigurationNews(RouteTable(5), 12))
-    assert kept.table.version == 5
+    assert configuration.table.version == 5
     assert feed.calls == ["read", 10, 11, 12]
 
 
-def test_a_failed_call_vouches_for_nothing_and_all_is_read_again():
-    clock, feed, kept = keeper()
+def test_a_failed_call_confirms_nothing_and_is_followed_by_a_full_read():
+    clock, feed, configuration = configuration_follower()
     feed.pending.callback(ConfigurationNews(RouteTable(5), 10))
     clock.advance(1.0)
     feed.pending.errback(KVUnavailableError("cut"))
     clock.advance(1.0)
-    assert kept.age_s == 2.0
+    assert configuration.age_s == 2.0
     assert feed.calls == ["read", 10, "read"]
 
 
-def test_a_configuration_is_current_while_a_watch_waits_and_not_when_it_stays_away():
-    clock, feed, kept = keeper()
+def test_a_configuration_is_current_while_a_watch_is_open_but_not_when_it_is_late():
+    clock, feed, configuration = configuration_follower()
     feed.pending.callback(ConfigurationNews(RouteTable(5), 10))
     clock.advance(WATCH_S)
     feed.pending.callback(ConfigurationNews(None, 11))
     clock.advance(WATCH_S - 0.1)
-    assert kept.age_s > CHANGE_BOUND_S
-    assert kept.is_current
+    assert configuration.age_s > CHANGE_BOUND_S
+    assert configuration.is_current
     clock.advance(0.3)
-    assert not kept.is_current
+    assert not configuration.is_current
     feed.pending.errback(KVUnavailableError("cut"))
-    assert not kept.is_current
+    assert not configuration.is_current
 
 
-def test_a_forgotten_history_is_read_whole():
-    _clock, feed, kept = keeper()
+def test_a_full_read_follows_when_the_history_was_dropped():
+    _clock, feed, configuration = configuration_follower()
     feed.pending.callback(ConfigurationNews(RouteTable(5), 10))
     feed.pending.errback(HistoryGoneError("gone"))
     feed.pending.callback(ConfigurationNews(RouteTable(6), 99))
-    assert kept.table.version == 6
+    assert configuration.table.version == 6
     assert feed.calls == ["read", 10, "read", 99]
 
 
-def follower():
+def peer_reliant_follower():
     clock, feed = Clock(), ScriptedFeed()
-    kept = ConfigurationKeeper(clock, feed, CHANGE_BOUND_S, pace(clock, follows=True))
-    running = start(kept.run())
+    configuration = ConfigurationKeeper(clock, feed, CHANGE_BOUND_S, pace(clock, follows=True))
+    running = start(configuration.run())
     feed.pending.callback(ConfigurationNews(RouteTable(5), 10))
-    return clock, feed, kept, running
+    return clock, feed, configuration, running
 
 
-def test_a_box_whose_peers_vouch_does_not_call_the_store():
-    clock, feed, kept, _running = follower()
+def test_a_box_does_not_call_the_store_while_peers_confirm():
+    clock, feed, configuration, _running = peer_reliant_follower()
     for _ in range(40):
         clock.advance(0.5)
-        kept.confirm_from_peer(5, clock.seconds(), 0.3)
+        configuration.confirm_from_peer(5, clock.seconds(), 0.3)
     assert feed.calls == ["read"]
-    assert kept.age_s <= 0.3 + 1e-9
+    assert configuration.age_s <= 0.3 + 1e-9
 
 
-def test_a_box_whose_peers_stop_vouching_reads_within_the_bound():
-    """Found on a standard day: keys were refused for 8 s after a restart of all boxes."""
-    clock, feed, kept, _running = follower()
+def test_a_box_reads_within_the_bound_after_peers_stop_confirming():
+    """Without a read in time, keys were refused after a restart of all boxes."""
+    clock, feed, configuration, _running = peer_reliant_follower()
     for _ in range(8):
         clock.advance(0.5)
-        kept.confirm_from_peer(5, clock.seconds(), 0.0)
+        configuration.confirm_from_peer(5, clock.seconds(), 0.0)
     assert feed.calls == ["read"]
     clock.pump([0.1] * 19)
     assert feed.calls == ["read", "read"]
     feed.pending.callback(ConfigurationNews(RouteTable(7), 20))
-    assert kept.table.version == 7
+    assert configuration.table.version == 7
 
 
-def test_peers_whose_belief_is_old_do_not_keep_a_box_from_reading():
-    clock, feed, kept, _running = follower()
+def test_stale_confirmations_do_not_keep_a_box_from_reading():
+    clock, feed, configuration, _running = peer_reliant_follower()
     for _ in range(8):
         clock.advance(0.25)
-        kept.confirm_from_peer(5, clock.seconds(), 60.0)
+        configuration.confirm_from_peer(5, clock.seconds(), 60.0)
     assert feed.calls == ["read", "read"]
 
 
-def test_a_box_reads_at_once_what_a_peer_knows_newer_and_a_stop_ends_the_task():
-    _clock, feed, kept, running = follower()
-    kept.confirm_from_peer(6, 0.0, 0.0)
+def test_a_box_reads_at_once_if_a_peer_has_a_newer_version_and_can_be_cancelled():
+    _clock, feed, configuration, running = peer_reliant_follower()
+    configuration.confirm_from_peer(6, 0.0, 0.0)
     assert feed.calls == ["read", "read"]
     feed.pending.callback(ConfigurationNews(RouteTable(6), 11))
-    assert kept.table.version == 6
+    assert configuration.table.version == 6
     ended = []
     running.addBoth(ended.append)
     running.cancel()
     assert ended
 
 
-def test_in_an_outage_a_box_whose_peers_answer_calls_the_store_seldom():
-    clock, feed, kept, _running = follower()
+def test_in_an_outage_a_box_retries_slowly_while_peers_answer():
+    clock, feed, configuration, _running = peer_reliant_follower()
     for _ in range(40):
         clock.advance(0.25)
-        kept._pace.note_peer_answer(clock.seconds())
-        kept.confirm_from_peer(5, clock.seconds(), clock.seconds())
+        configuration._pace.note_peer_answer(clock.seconds())
+        configuration.confirm_from_peer(5, clock.seconds(), clock.seconds())
         if not feed.pending.called:
             feed.pending.errback(KVUnavailableError("down"))
     assert 4 <= len(feed.calls) <= 9
@@ -164,11 +164,11 @@
     return TargetEntry(name, "s", "10.0.0.1", 9000, "hall", 6, leaving)
 
 
-def target_keeper():
+def target_follower():
     clock, feed, gone = Clock(), ScriptedFeed(), []
-    kept = TargetKeeper(clock, feed, 2.0, lambda e: gone.append(e.name), pace(clock))
-    start(kept.run())
-    return clock, feed, kept, gone
+    targets = TargetKeeper(clock, feed, 2.0, lambda e: gone.append(e.name), pace(clock))
+    start(targets.run())
+    return clock, feed, targets, gone
 
 
 def answer(clock, feed, entries, after_s=1.0):
@@ -176,93 +176,93 @@
     clock.advance(after_s)
 
 
-def test_a_first_list_is_one_log_line_and_a_change_one_a_target(caplog):
-    """Thundering herd: 195 boxes that started together wrote 41,000 lines about 155 targets."""
+def test_the_first_list_is_one_log_line_and_later_changes_one_per_target(caplog):
+    """Thundering herd: a line per target and box floods the log when a fleet starts."""
     caplog.set_level("INFO")
-    _clock, _feed, kept, _gone = target_keeper()
-    kept._apply_read({f"t{i}": entry(f"t{i}") for i in range(155)}, 0.0)
+    _clock, _feed, targets, _gone = target_follower()
+    targets._apply_read({f"t{i}": entry(f"t{i}") for i in range(155)}, 0.0)
     assert [record.message for record in caplog.records] == ["targets listed"]
     caplog.clear()
-    kept._apply_read({f"t{i}": entry(f"t{i}") for i in range(1, 156)}, 1.0)
+    targets._apply_read({f"t{i}": entry(f"t{i}") for i in range(1, 156)}, 1.0)
     assert sorted(record.message for record in caplog.records) == ["target gone", "target listed"]
 
 
-def test_a_target_that_leaves_or_goes_gets_no_work():
-    clock, feed, kept, gone = target_keeper()
+def test_leaving_and_gone_targets_accept_no_requests():
+    clock, feed, targets, gone = target_follower()
     for _ in range(4):
         answer(clock, feed, [entry("a"), entry("b"), entry("c")])
     answer(clock, feed, [entry("a"), entry("b", leaving=True)])
-    assert [e.name for e in kept.usable("s")] == ["a"]
-    assert not kept.may_get_work("b")
+    assert [e.name for e in targets.usable("s")] == ["a"]
+    assert not targets.may_get_work("b")
     assert gone == ["c"]
 
 
-def test_a_box_that_has_just_started_does_not_keep_entries_that_go():
-    """Found by a hunt: its first read counted as the end of an outage."""
-    clock, feed, kept, gone = target_keeper()
+def test_a_box_that_has_just_started_does_not_keep_missing_entries():
+    """The first read once counted as the end of an outage."""
+    clock, feed, targets, gone = target_follower()
     answer(clock, feed, [entry("a"), entry("b")])
     answer(clock, feed, [entry("a")])
-    assert not kept.may_get_work("b")
+    assert not targets.may_get_work("b")
     assert gone == ["b"]
 
 
-def test_entries_that_lapsed_in_an_outage_have_time_to_come_back():
-    clock, feed, kept, gone = target_keeper()
+def test_entries_that_expired_in_an_outage_have_time_to_reappear():
+    clock, feed, targets, gone = target_follower()
     answer(clock, feed, [entry("a"), entry("b")])
     for _ in range(8):
         feed.pending.errback(KVUnavailableError("down"))
         clock.advance(1.0)
     answer(clock, feed, [entry("a")])
-    assert kept.may_get_work("b")
+    assert targets.may_get_work("b")
     for _ in range(3):
         answer(clock, feed, [entry("a")])
-    assert not kept.may_get_work("b")
+    assert not targets.may_get_work("b")
     assert gone == ["b"]
 
 
-def test_a_target_that_has_left_stays_so_whatever_its_entry_says_later():
-    clock, feed, kept, _gone = target_keeper()
+def test_a_leaving_target_stays_leaving_whatever_its_entry_says_later():
+    clock, feed, targets, _gone = target_follower()
     answer(clock, feed, [entry("a", leaving=True)])
     answer(clock, feed, [entry("a")])
-    assert not kept.may_get_work("a")
+    assert not targets.may_get_work("a")
 
 
-def test_a_peers_list_is_taken_but_brings_back_nothing_that_has_gone():
-    clock, feed, kept, gone = target_keeper()
+def test_a_peers_list_is_applied_but_brings_back_no_gone_target():
+    clock, feed, targets, gone = target_follower()
     answer(clock, feed, [entry("a"), entry("b"), entry("c")])
     answer(clock, feed, [entry("a"), entry("b")])
     assert gone == ["c"]
     listed = {e.name: e for e in (entry("a"), entry("c"), entry("d"))}
-    kept.apply_peer_list(listed, clock.seconds())
-    assert sorted(kept.entries) == ["a", "d"]
+    targets.apply_peer_list(listed, clock.seconds())
+    assert sorted(targets.entries) == ["a", "d"]
     assert gone == ["c", "b"]
-    kept.apply_peer_list({"b": entry("b")}, clock.seconds() - 5.0)
-    assert sorted(kept.entries) == ["a", "d"]
+    targets.apply_peer_list({"b": entry("b")}, clock.seconds() - 5.0)
+    assert sorted(targets.entries) == ["a", "d"]
 
 
-def test_a_read_of_the_store_brings_back_what_had_gone():
-    clock, feed, kept, _gone = target_keeper()
+def test_a_read_of_the_store_brings_back_a_gone_target():
+    clock, feed, targets, _gone = target_follower()
     answer(clock, feed, [entry("a"), entry("b")])
     answer(clock, feed, [entry("a")])
     answer(clock, feed, [entry("a"), entry("b")])
-    assert kept.may_get_work("b")
-    kept.apply_peer_list({e.name: e for e in (entry("a"), entry("b"))}, clock.seconds())
-    assert kept.may_get_work("b")
+    assert targets.may_get_work("b")
+    targets.apply_peer_list({e.name: e for e in (entry("a"), entry("b"))}, clock.seconds())
+    assert targets.may_get_work("b")
 
 
-@pytest.mark.parametrize("vouched, reads", [(True, 1), (False, 4)])
-def test_a_box_reads_the_list_itself_only_if_no_reader_vouches_for_it(vouched, reads):
+@pytest.mark.parametrize("confirmed, reads", [(True, 1), (False, 4)])
+def test_a_box_reads_the_list_itself_only_if_no_reader_confirms_it(confirmed, reads):
     clock, feed = Clock(), ScriptedFeed()
-    kept = TargetKeeper(
+    targets = TargetKeeper(
         clock, feed, LEAVE_BOUND_S, lambda _entry: None, pace(clock, follows_list=True)
     )
-    start(kept.run())
+    start(targets.run())
     feed.pending.callback({"t": entry("t")})
     for _ in range(50):
         clock.advance(0.1)
-        if vouched:
-            kept.confirm_from_peer(kept.digest, clock.seconds(), 0.8)
+        if confirmed:
+            targets.confirm_from_peer(targets.digest, clock.seconds(), 0.8)
         if not feed.pending.called:
             feed.pending.callback({"t": entry("t")})
-        assert kept.age_s < LEAVE_BOUND_S
+        assert targets.age_s < LEAVE_BOUND_S
     assert len(feed.calls) == reads
--- a/gladedrum/beliefs/tests/test_first_start.py
+++ b/gladedrum/beliefs/tests/test_first_start.py
@@ -1,8 +1,7 @@
-"""Thundering herd at the store: a whole fleet that starts for the first time.
+"""Thundering herd at the store: a whole fleet starts for the first time.
 
-Seen in virtual time: 72 boxes that start within 0.3 s made 662 calls to the store in five seconds,
-each reading the configuration, the targets and the boxes, and 106 of them writing an entry where 14
-are kept. No caller comes for more than ten seconds then, so nobody gains by it.
+Without waiting for the seeds, every box reads all state from the store, and many register
+needlessly.
 """
 
 import pytest
@@ -25,21 +24,21 @@
     return fleet
 
 
-def test_the_seeds_read_the_store_for_all(fleet):
-    tenths = ("stale list", "keep")
+def test_the_seeds_read_the_store_for_all_boxes(fleet):
+    cheap_calls = ("stale list", "keep")
     calls = fleet.store.calls.items()
-    assert sum(n * (0.1 if kind in tenths else 1.0) for kind, n in calls) <= 260
+    assert sum(n * (0.1 if kind in cheap_calls else 1.0) for kind, n in calls) <= 260
 
 
-def test_all_boxes_know_where_requests_go_before_callers_come(fleet):
+def test_all_boxes_are_informed_before_callers_come(fleet):
     assert informed(fleet) == BOXES
 
 
-def test_as_many_boxes_keep_entries_as_are_wanted(fleet):
+def test_the_intended_number_of_boxes_registers(fleet):
     assert REGISTERED_BOXES <= len(fleet.store.keys("gladedrum/boxes/")) <= REGISTERED_BOXES + 8
 
 
-def test_without_its_seeds_a_fleet_starts_all_the_same():
+def test_a_fleet_starts_without_its_seeds():
     fleet = VirtualFleet(20, first_start=True)
     for address in fleet.seeds:
         fleet.boxes[address].stop()
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -1,9 +1,8 @@
-"""What grows with the fleet: calls to the store, entries, and how soon all know a change.
+"""Costs that grow with the fleet: store calls, registered boxes, and propagation of changes.
 
-Patterns: a thundering herd (a fleet that starts, a changed configuration, a store that is back) and
-the retry storm of an outage. Grounds for the figures: 195 boxes made 3,600 calls on a calm minute,
-2,000 of them for entries, renewals and lists of boxes; each start cost six, each change one a box.
-The fleets here have 60 boxes, five of them with four times the cores of the others.
+Guards against a thundering herd (a fleet that starts, a changed configuration, a store that is
+back) and against a retry storm in an outage. The fleets have 60 boxes, five of them with four times
+the cores of the others.
 """
 
 import pytest
@@ -31,25 +30,25 @@
 
 
 def calls_within(fleet, seconds):
-    """Return the calls that the fleet makes in a time, without what the readers do."""
+    """Return the store calls of the fleet within a time, by kind."""
     before = fleet.store.calls.copy()
     fleet.run(seconds)
     return fleet.store.calls - before
 
 
-def test_few_boxes_keep_an_entry_and_all_agree_who_decides(fleet):
+def test_few_boxes_register_and_all_agree_on_the_coordinator_group(fleet):
     assert len(fleet.store.keys(BOXES_PREFIX)) == REGISTERED_BOXES
-    circles = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
-    assert len(circles) == 1
-    (members,) = circles
+    groups = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
+    assert len(groups) == 1
+    (members,) = groups
     assert len(members) == CIRCLE_SIZE
     assert {box.beliefs.registry.capacity_of(name) for box in fleet.boxes.values()
             for name in members} == {2.15}  # fmt: skip
 
 
-def test_a_calm_fleet_calls_the_store_for_its_readers_only(fleet):
+def test_in_an_idle_fleet_only_registered_boxes_call_the_store(fleet):
     calls = calls_within(fleet, 20.0)
-    # 14 entries renewed and listed each 4 to 5 s, at a tenth of the price; no box takes an entry.
+    # 14 entries renewed and listed every 4 to 5 s, with cheap calls; no box registers.
     assert calls["keep"] <= 14 * 5
     assert calls["stale list"] <= 14 * 5
     assert not calls["grant"] + calls["write"] + calls["end"]
@@ -59,7 +58,7 @@
     assert calls["watch"] <= CIRCLE_SIZE * 20
 
 
-def test_a_change_is_known_everywhere_within_a_second_and_read_by_the_members_alone(fleet):
+def test_a_change_reaches_all_boxes_within_a_second_and_only_members_read_it(fleet):
     fleet.write_configuration(2)
     calls = calls_within(fleet, 1.0)
     assert versions(fleet) == {2}
@@ -70,7 +69,7 @@
     assert calls["list op"] == BOXES - CIRCLE_SIZE
 
 
-def test_a_box_that_starts_calls_the_store_for_nothing_that_its_peers_know(fleet):
+def test_a_starting_box_reads_nothing_from_the_store_that_its_peers_have(fleet):
     before = fleet.store.calls.copy()
     box = fleet.start(BOXES + 1)
     fleet.run(0.05)
@@ -81,7 +80,7 @@
     assert not calls["grant"]
 
 
-def test_boxes_that_start_while_the_store_is_away_know_what_their_peers_know(fleet):
+def test_a_box_that_starts_in_an_outage_gets_its_state_from_peers(fleet):
     fleet.store.away = True
     fleet.run(1.0)
     box = fleet.start(BOXES + 1)
@@ -90,8 +89,8 @@
     assert 1.0 <= box.beliefs.configuration.age_s <= 4.0
 
 
-def test_boxes_that_start_in_an_outage_do_not_take_themselves_for_the_whole_fleet():
-    """Thundering herd: after a loss of all power each of 195 boxes read all engines' load."""
+def test_boxes_that_start_in_an_outage_do_not_assume_that_they_are_alone():
+    """Thundering herd: after a power failure every box read the load of all engines."""
     fleet = VirtualFleet(0)
     fleet.store.away = True
     for number in range(20):
@@ -101,14 +100,14 @@
     beliefs = [box.beliefs for box in fleet.boxes.values()]
     for _ in range(15):
         fleet.run(0.1)
-        # Only the first to write an entry may read engines' load without knowing of the others.
+        # Only the first registered box may read engines' load without knowing its peers.
         readers = [belief for belief in beliefs if belief.is_informed and belief.knows_peers()]
         assert sum(belief.circle.is_whole_fleet for belief in readers) <= SMALL_FLEET
     assert len(readers) == len(beliefs)
     assert not any(belief.circle.is_whole_fleet for belief in beliefs)
 
 
-def test_a_box_that_can_not_learn_who_the_others_are_serves_alone_after_a_while():
+def test_a_box_that_cannot_discover_peers_serves_alone_after_a_while():
     fleet = VirtualFleet(0)
     box = fleet.start(0)
     box.beliefs.registry.revision = NEVER
@@ -124,10 +123,10 @@
     raise KVUnavailableError("away")
 
 
-def test_after_an_outage_all_are_current_again_within_half_a_second(fleet):
+def test_after_an_outage_all_boxes_are_current_within_half_a_second(fleet):
     fleet.store.away = True
     calls = calls_within(fleet, 8.0)
-    # Four members look for its return five times a second, the others once in three seconds.
+    # Four members retry five times a second, the others once in three seconds.
     assert calls["list op"] + calls["list servers"] <= 9 * BOXES
     assert not any(box.beliefs.configuration.is_current for box in fleet.boxes.values())
     fleet.store.away = False
@@ -135,22 +134,22 @@
     assert all(box.beliefs.configuration.is_current for box in fleet.boxes.values())
 
 
-def test_a_fleet_that_loses_all_its_deciders_at_once_has_new_ones(fleet):
+def test_a_fleet_that_loses_its_whole_coordinator_group_forms_a_new_one(fleet):
     members = set(next(iter(fleet.boxes.values())).beliefs.circle.members())
     for box in list(fleet.boxes.values()):
         if box.beliefs.registry.name in members:
             box.stop()
     fleet.run(membership.LEASE_RENEWALS * membership.LARGE_FLEET_RENEW_INTERVAL_S + 12.0)
-    circles = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
-    assert len(circles) == 1
-    assert not members & set(next(iter(circles)))
+    groups = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
+    assert len(groups) == 1
+    assert not members & set(next(iter(groups)))
     fleet.write_configuration(2)
     fleet.run(1.0)
     assert versions(fleet) == {2}
 
 
-def test_a_store_from_a_copy_is_known_to_all_soon_and_not_overrun():
-    """Thundering herd: each box has to look again, and most need nothing but the table."""
+def test_a_restored_store_is_noticed_by_all_boxes_soon_and_not_overloaded():
+    """Thundering herd: every box has to refresh, and most need only the table."""
     fleet = VirtualFleet(BOXES)
     fleet.run(10.0)
     fleet.store.keep_copy()
--- a/gladedrum/beliefs/tests/test_leaving.py
+++ b/gladedrum/beliefs/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A planned stop, as the other boxes of a small fleet see it: who counts, who is told of work."""
+"""Planned stops in a small fleet: membership of the stopping box and what it still receives."""
 
 import pytest
 
@@ -7,8 +7,8 @@
 from gladedrum.gossip.wire.ttypes import Gossip, RepeatAsk, ReportNote, WorkNote
 
 BOXES = 9
-SERVES_ON_S = 4.0
-"""From the signal until the process ends."""
+DRAIN_S = 4.0
+"""Time from the stop signal until the process ends, in seconds."""
 
 
 @pytest.fixture
@@ -24,36 +24,36 @@
     return box
 
 
-def counted_by(fleet, box):
-    """Return how many other boxes count a box among those that decide and read for all."""
+def member_count(fleet, box):
+    """Return how many other boxes have a box in their coordinator group."""
     others = [other for other in fleet.boxes.values() if other is not box]
     return sum(box.beliefs.circle.me in other.beliefs.circle.members() for other in others)
 
 
-def test_a_stopping_box_is_told_of_all_work_as_long_as_it_serves(fleet):
+def test_a_stopping_box_receives_all_changes_as_long_as_it_serves(fleet):
     box = stopping(fleet)
     for _ in range(8):
-        fleet.run(SERVES_ON_S / 8)
-        assert counted_by(fleet, box) == BOXES - 1
-        told = [o for o in fleet.boxes.values() if box.address in o.beliefs.circle.audience()]
-        assert len(told) == BOXES - 1
+        fleet.run(DRAIN_S / 8)
+        assert member_count(fleet, box) == BOXES - 1
+        received = [o for o in fleet.boxes.values() if box.address in o.beliefs.circle.audience()]
+        assert len(received) == BOXES - 1
 
 
-def test_a_box_that_has_ended_as_planned_counts_no_more(fleet):
-    """It was for 6 s more: asked for places, 40 ms each in vain, and taken to read reports."""
+def test_a_box_that_has_ended_as_planned_is_no_member(fleet):
+    """Otherwise peers wait in vain for its answers, and rely on it to read reports."""
     box = stopping(fleet)
-    fleet.run(SERVES_ON_S)
+    fleet.run(DRAIN_S)
     box.end()
     fleet.run(0.05)
-    assert counted_by(fleet, box) == 0
+    assert member_count(fleet, box) == 0
     fleet.run(3.0)
-    assert counted_by(fleet, box) == 0
+    assert member_count(fleet, box) == 0
     assert all(other.beliefs.registry.count == BOXES - 1 for other in fleet.boxes.values())
 
 
-def test_a_farewell_that_overtakes_other_notes_is_said_again(fleet):
+def test_a_farewell_that_overtakes_other_datagrams_is_repeated(fleet):
     box = stopping(fleet)
-    fleet.run(SERVES_ON_S)
+    fleet.run(DRAIN_S)
     box.port.say_farewell()
     other = next(other for other in fleet.boxes.values() if other is not box)
     fleet.run(0.01)
@@ -64,7 +64,7 @@
     assert box.beliefs.circle.me not in other.beliefs.circle.members()
 
 
-def test_after_its_farewell_a_box_says_nothing_else(fleet):
+def test_after_its_farewell_a_box_sends_nothing_else(fleet):
     box = stopping(fleet)
     box.port.say_farewell()
     sent = []
@@ -76,22 +76,22 @@
     fleet.run(0.1)
     box.port.say_farewell()
     assert sent
-    assert all(is_farewell(told) for told in sent)
+    assert all(is_farewell(received) for received in sent)
 
 
-def test_the_next_start_of_a_box_counts_at_once(fleet):
+def test_the_next_start_of_a_box_is_a_member_at_once(fleet):
     box = stopping(fleet)
-    fleet.run(SERVES_ON_S)
+    fleet.run(DRAIN_S)
     box.end()
     fleet.run(0.9)
     started = fleet.start(0)
     fleet.run(0.2)
     assert started.address == box.address
-    assert counted_by(fleet, started) == BOXES - 1
+    assert member_count(fleet, started) == BOXES - 1
 
 
-def test_a_stopping_box_and_one_that_starts_meanwhile_know_each_other(fleet):
-    """Else the one is not told of the other's work, and both read the same reports."""
+def test_a_stopping_box_and_a_starting_one_know_each_other(fleet):
+    """Otherwise one misses the other's changes, and both read the same reports."""
     first, *_others, second = fleet.boxes.values()  # neither is a seed
     second.leave()
     first.leave()
@@ -100,12 +100,12 @@
     fleet.run(0.9)
     started = fleet.start(0)
     fleet.run(0.3)
-    assert counted_by(fleet, started) == BOXES - 1
-    assert counted_by(fleet, second) == BOXES - 1
+    assert member_count(fleet, started) == BOXES - 1
+    assert member_count(fleet, second) == BOXES - 1
 
 
-def test_a_box_of_an_earlier_version_that_begins_to_stop_has_not_ended(fleet):
-    """It says that it leaves at its signal, with empty lists beside, and serves on for seconds."""
+def test_a_stopping_box_of_an_earlier_version_has_not_ended(fleet):
+    """Earlier versions announce the stop at the signal, with empty lists, and still serve."""
     box, other, *_ = fleet.boxes.values()
     name = box.beliefs.circle.me
     replaced = []
@@ -115,12 +115,12 @@
     assert not replaced
 
 
-def test_a_box_that_has_ended_counts_no_more_though_its_entry_is_still_listed(fleet):
-    """Its entry stays where the store is away at its end; after 6 s it was a peer again."""
+def test_a_box_that_has_ended_is_no_member_though_its_entry_is_still_listed(fleet):
+    """The entry remains if the store is unavailable when the box ends."""
     box = stopping(fleet)
-    fleet.run(SERVES_ON_S)
+    fleet.run(DRAIN_S)
     fleet.store.away = True
     box.end()
     for _ in range(20):
         fleet.run(0.5)
-        assert counted_by(fleet, box) == 0
+        assert member_count(fleet, box) == 0
--- a/gladedrum/beliefs/tests/test_membership.py
+++ b/gladedrum/beliefs/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Boxes know each other from the store, and from hearing of each other."""
+"""Membership from entries in the store and from received datagrams."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 
 
 class RegistryCase(StoreCase):
-    """Registries against the stand-in of the store."""
+    """Runs registries against the stand-in for the store."""
 
     timeout = 20
 
@@ -37,7 +37,7 @@
 
 
 class BoxRegistryTest(RegistryCase):
-    """In a small fleet each box keeps an entry."""
+    """In a small fleet every box registers."""
 
     async def test_a_later_box_lists_the_earlier_one_and_greets_it(self):
         first = self.box("a.1", 1)
@@ -52,7 +52,7 @@
         first.note_heard("b.1", ("127.0.0.1", 2))
         assert first.peers == {"b.1": ("127.0.0.1", 2)}
 
-    async def test_an_entry_that_lapsed_in_a_cut_is_made_anew(self):
+    async def test_an_expired_entry_is_written_again(self):
         self.patch(membership, "RENEW_INTERVAL_S", 0.05)
         registry = self.box("a.1", 1)
         while not self.service._entries:
@@ -62,7 +62,7 @@
         while not self.service._entries:
             await sleep(reactor, 0.01)
 
-    async def test_a_box_that_is_only_heard_is_forgotten_when_it_falls_silent(self):
+    async def test_an_unregistered_box_is_dropped_when_it_falls_silent(self):
         registry = self.box("a.1", 1)
         registry.note_heard("b.1", ("127.0.0.1", 2))
         assert registry.count == 2
@@ -73,8 +73,8 @@
         )
         assert registry.count == 1
 
-    async def test_an_earlier_start_of_a_box_counts_no_more(self):
-        """Found on a standard day: 8 boxes that had restarted counted as 16."""
+    async def test_an_earlier_start_of_a_box_is_no_peer(self):
+        """Otherwise restarted boxes count twice."""
         self.box("a.1", 1)
         while not self.service._entries:
             await sleep(reactor, 0.01)
@@ -86,7 +86,7 @@
             await sleep(reactor, 0.01)
         assert set(third.peers) == {"a.1", "b.2"}
 
-    async def test_a_box_that_leaves_removes_its_entry(self):
+    async def test_a_leaving_box_removes_its_entry(self):
         registry = self.box("a.1", 1)
         while not self.service._entries:
             await sleep(reactor, 0.01)
@@ -94,8 +94,8 @@
         assert not self.service._entries
 
 
-class CandidatesTest(RegistryCase):
-    """In a large fleet those keep entries that may have to decide for the others."""
+class LargeFleetTest(RegistryCase):
+    """In a large fleet only the boxes with the highest precedence register."""
 
     def list_boxes(self, count, capacity):
         for index in range(count):
@@ -110,7 +110,7 @@
         while not condition():
             await sleep(reactor, 0.01)
 
-    async def test_a_box_that_enough_others_come_before_keeps_no_entry(self):
+    async def test_a_box_does_not_register_if_enough_others_have_a_higher_precedence(self):
         self.list_boxes(REGISTERED_BOXES, capacity=2.0)
         small = self.box("small.1", 1, capacity=0.5)
         await self.until(lambda: small.revision != NEVER)
@@ -120,7 +120,7 @@
         assert not small.is_registered
         assert len(small.peers) == REGISTERED_BOXES
 
-    async def test_a_box_takes_an_entry_when_those_before_it_go(self):
+    async def test_a_box_registers_when_boxes_of_higher_precedence_leave(self):
         self.patch(membership, "LARGE_FLEET_RENEW_INTERVAL_S", 0.05)
         self.patch(membership, "RENEW_INTERVAL_S", 0.05)
         self.patch(membership, "PEER_LIST_TIMEOUT_S", 0.0)
@@ -130,7 +130,7 @@
         self.service.remove(f"{membership.BOXES_PREFIX}x0.1")
         await self.until(lambda: "small.1" in self.keys())
 
-    async def test_a_box_gives_its_entry_up_when_enough_larger_ones_have_come(self):
+    async def test_a_box_unregisters_when_enough_larger_ones_have_registered(self):
         self.patch(membership, "LARGE_FLEET_RENEW_INTERVAL_S", 0.05)
         self.patch(membership, "RENEW_INTERVAL_S", 0.05)
         small = self.box("small.1", 1, capacity=0.5)
@@ -139,21 +139,21 @@
         await self.until(lambda: "small.1" not in self.keys())
         assert not small.is_registered
 
-    async def test_a_box_without_entry_is_told_the_list_and_reads_none(self):
+    async def test_an_unregistered_box_receives_the_list_and_does_not_read_it(self):
         self.list_boxes(REGISTERED_BOXES, capacity=2.0)
         small = self.box("small.1", 1, capacity=0.5)
         await self.until(lambda: small.revision != NEVER)
-        told = {"y.1": BoxEntry("127.0.0.1", 99, 8.0)}
-        small.receive_entries(told, shifted(small.revision, -1))
+        received = {"y.1": BoxEntry("127.0.0.1", 99, 8.0)}
+        small.receive_entries(received, shifted(small.revision, -1))
         assert len(small.entries) == REGISTERED_BOXES
-        small.receive_entries(told, shifted(small.revision, 1))
-        assert small.entries == told
+        small.receive_entries(received, shifted(small.revision, 1))
+        assert small.entries == received
         assert small.capacity_of("y.1") == 8.0
         self.service.stop()
         await small._refresh()
 
-    async def test_a_box_that_is_told_the_list_does_not_take_an_entry_for_what_it_is_not_told(self):
-        """Found by a play of 195 boxes: told of too few entries, all took one every 5 s."""
+    async def test_a_truncated_list_does_not_make_a_box_register(self):
+        """Otherwise a list of too few entries makes every box register on each refresh."""
         self.list_boxes(3 * REGISTERED_BOXES, capacity=2.0)
         member = self.box("large.1", 2, capacity=4.0)
         await self.until(lambda: member.is_registered and member.entries)
@@ -165,9 +165,9 @@
         assert not small.is_registered
         assert "small.1" not in self.keys()
 
-    async def test_a_capacity_that_is_missing_or_absurd_counts_as_none(self):
-        absurd = (None, True, -1, float("nan"), float("inf"), 1e9, "4", [])
-        assert {valid_capacity(told) for told in absurd} == {0.0}
+    async def test_a_missing_or_implausible_capacity_counts_as_zero(self):
+        implausible = (None, True, -1, float("nan"), float("inf"), 1e9, "4", [])
+        assert {valid_capacity(received) for received in implausible} == {0.0}
         self.service.write(membership.BOXES_PREFIX + "b.1", b'{"host": "127.0.0.1", "port": 2}')
         first = self.box("a.1", 1)
         await self.until(lambda: first.entries)
@@ -175,7 +175,7 @@
         first.note_heard("c.1", ("127.0.0.1", 3), 2.0)
         assert first.capacity_of("c.1") == 2.0
 
-    async def test_the_work_of_an_earlier_start_is_given_up(self):
+    async def test_a_later_start_at_an_address_replaces_the_earlier_one(self):
         registry = self.box("a.1", 1)
         replaced = []
         registry.on_replaced = replaced.append
--- a/gladedrum/beliefs/tests/test_vouching.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -1,4 +1,4 @@
-"""A box that asks a peer is never surer than the peer was when the question was sent."""
+"""Peer synchronisation: an answer never makes a box's copy younger than the peer's was."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class Wire:
-    """Keeps questions and answers for the test to deliver."""
+    """Collects questions and answers for the test to deliver."""
 
     def __init__(self):
         self.asks, self.notes, self.parts, self.handed = [], [], [], []
@@ -88,38 +88,38 @@
     return vouching, wire
 
 
-def exchange(clock, asker, asker_wire, member, member_wire, way_s=0.0, standstill_s=0.0):
+def exchange(clock, asker, asker_wire, member, member_wire, delay_s=0.0, stall_s=0.0):
     asker._ask()
-    clock.advance(way_s)
+    clock.advance(delay_s)
     member.take(Gossip("a", vouch_asks=asker_wire.asks), ("10.0.0.2", 2))
-    clock.advance(way_s + standstill_s)
+    clock.advance(delay_s + stall_s)
     asker.take(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
     for part in reversed(member_wire.parts):
         asker.take(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
 
 
-def test_the_peers_age_and_the_way_are_added_up():
+def test_the_peers_age_and_the_delay_are_added():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=9.5)
     asker, wire = box(clock, False, 3, read_s=5.0)
-    exchange(clock, asker, wire, member, member_wire, way_s=0.1)
+    exchange(clock, asker, wire, member, member_wire, delay_s=0.1)
     assert asker._configuration.age_s <= 0.9 + 1e-9
     assert asker._configuration.age_s >= 0.7
     assert asker._targets.age_s >= 0.7
 
 
-def test_an_answer_that_waited_while_the_process_stood_still_is_as_old_as_its_question():
+def test_an_answer_delayed_by_a_stall_is_as_old_as_its_question():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=10.0)
     asker, wire = box(clock, False, 3, read_s=5.0)
-    exchange(clock, asker, wire, member, member_wire, standstill_s=6.0)
+    exchange(clock, asker, wire, member, member_wire, stall_s=6.0)
     assert asker._configuration.age_s >= 6.0
     assert asker._targets.age_s >= 6.0
 
 
-def test_another_version_vouches_for_nothing():
+def test_a_different_version_confirms_nothing():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 4, read_s=10.0)
@@ -128,20 +128,20 @@
     assert asker._configuration.age_s == 5.0
 
 
-def test_another_list_comes_with_the_answer_and_is_as_old_as_the_peers():
+def test_a_different_list_comes_with_the_answer_and_is_as_old_as_the_peers():
     clock = Clock()
     clock.advance(10.0)
     names = [f"t{i:02}" for i in range(30)]
     member, member_wire = box(clock, True, 3, read_s=9.5, targets=names)
     asker, wire = box(clock, False, 3, read_s=5.0, targets=("t00", "old"))
-    exchange(clock, asker, wire, member, member_wire, way_s=0.1)
+    exchange(clock, asker, wire, member, member_wire, delay_s=0.1)
     assert len(member_wire.parts) > 1
     assert sorted(asker._targets.entries) == names
     assert 0.7 <= asker._targets.age_s <= 0.9 + 1e-9
     assert asker._targets.digest == member._targets.digest
 
 
-def test_a_part_that_is_lost_leaves_the_list_as_it_was():
+def test_a_lost_part_leaves_the_list_unchanged():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=9.5, targets=[f"t{i}" for i in range(30)])
@@ -154,7 +154,7 @@
     assert asker._targets.age_s == 5.0
 
 
-def test_only_the_difference_comes_from_a_list_that_the_peer_has_had():
+def test_only_the_difference_from_a_list_known_to_the_peer_is_sent():
     clock = Clock()
     clock.advance(10.0)
     names = [f"t{i:02}" for i in range(30)]
@@ -175,7 +175,7 @@
     assert asker._targets.digest == member._targets.digest
 
 
-def test_a_difference_from_another_list_than_the_one_in_force_is_not_taken():
+def test_a_difference_from_a_list_no_longer_in_use_is_not_applied():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=10.0, targets=("t1", "t2"))
@@ -193,8 +193,8 @@
     assert asker._targets.entries == other
 
 
-def test_a_peer_that_keeps_entries_after_an_outage_vouches_for_no_list():
-    """Its list may hold a target that has gone while the store was away from it only."""
+def test_a_peer_that_keeps_missing_entries_confirms_no_list():
+    """Its list may hold a target that left while only this peer could not reach the store."""
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=10.0, targets=("t1", "t2"))
@@ -206,7 +206,7 @@
     assert not member_wire.parts
 
 
-def test_an_answer_nobody_asked_for_vouches_for_nothing():
+def test_an_unsolicited_answer_confirms_nothing():
     clock = Clock()
     clock.advance(10.0)
     asker, _wire = box(clock, False, 3, read_s=5.0)
@@ -215,14 +215,14 @@
     assert asker._configuration.age_s == 5.0
 
 
-def test_a_box_outside_the_circle_does_not_vouch():
+def test_a_box_outside_the_coordinator_group_confirms_nothing():
     clock = Clock()
     outside, wire = box(clock, False, 3)
     outside.take(Gossip("a", vouch_asks=[VouchAsk(1)]), ("10.0.0.1", 1))
     assert not wire.notes
 
 
-def test_a_newer_table_of_weights_is_read_when_a_peer_names_it():
+def test_a_newer_table_is_read_when_a_peer_names_it():
     clock = Clock()
     member, member_wire = box(clock, True, 3)
     asker, wire = box(clock, False, 3)
@@ -234,7 +234,7 @@
     assert not asker._table_follower._may_rely_on_peers()
 
 
-def test_a_box_that_can_not_read_the_configuration_itself_asks_its_peers():
+def test_a_member_that_cannot_read_the_configuration_asks_its_peers():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=9.5)
@@ -248,8 +248,8 @@
     assert cut._configuration.is_current
 
 
-def test_a_box_without_an_entry_is_told_those_that_count_in_one_datagram():
-    """Found by a play of 195 boxes: while they started, the list did not fit into a datagram."""
+def test_an_unregistered_box_receives_the_list_of_boxes_in_one_datagram():
+    """Otherwise the list does not fit in a datagram while a large fleet starts."""
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=9.5)
@@ -261,17 +261,17 @@
     member._registry.entries, member._registry.revision = entries, Revision(0, 7)
     exchange(clock, asker, wire, member, member_wire)
     assert len(encode(Gossip("m", vouches=member_wire.notes))) < 1_200
-    told = asker._registry.entries
-    assert set(told) <= set(entries)
-    assert len(told) >= SMALL_FLEET
-    assert {entry.capacity for entry in told.values()} == {3}
+    received = asker._registry.entries
+    assert set(received) <= set(entries)
+    assert len(received) >= SMALL_FLEET
+    assert {entry.capacity for entry in received.values()} == {3}
     wire.asks.clear(), member_wire.notes.clear()
     exchange(clock, asker, wire, member, member_wire)
     assert member_wire.notes[0].boxes is None
 
 
-def test_a_box_whose_configuration_is_old_asks_more_often_until_a_member_has_read_again():
-    """Thundering herd in reverse: after an outage each box waited for its next question."""
+def test_a_box_with_a_stale_configuration_asks_more_often_until_it_is_confirmed():
+    """Otherwise each box waits out its usual interval after an outage."""
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=4.0)
@@ -289,14 +289,14 @@
 
 
 class JsonFeed(NoFeed):
-    """Reads a configuration whose bytes are its version."""
+    """Decodes a configuration that consists of its version."""
 
     def decode(self, raw):
         return RouteTable(int(raw))
 
 
 def hand_on(member_version, asker_version, raw, lost=()):
-    """Return the asking box after a member with another version has answered."""
+    """Return the asking box and the wire after a member with its own version has answered."""
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, member_version, read_s=9.5)
@@ -312,8 +312,8 @@
     return asker, member_wire
 
 
-def test_a_newer_configuration_is_handed_on_with_the_age_that_the_member_vouches_for():
-    """Thundering herd: each change made 195 boxes read the store within half a second."""
+def test_a_newer_configuration_is_sent_with_its_age():
+    """Thundering herd: otherwise each change makes every box read the store."""
     asker, wire = hand_on(4, 3, b"4".rjust(5_000))
     assert len(wire.handed) == 5
     assert asker._configuration.table.version == 4
@@ -323,14 +323,14 @@
     assert not wire.handed
 
 
-def test_a_part_that_is_lost_or_a_large_configuration_leaves_the_reading_to_the_box():
+def test_a_box_reads_a_large_or_incomplete_configuration_itself():
     for raw, lost in ((b"4".rjust(5_000), (2,)), (b"4".rjust(200_000), ())):
         asker, _wire = hand_on(4, 3, raw, lost)
         assert asker._configuration.table.version == 3
         assert asker._configuration._newer_version_known
 
 
-def test_parts_of_another_version_than_the_one_vouched_for_are_not_taken():
+def test_parts_of_an_older_version_are_ignored():
     handed = ReceivedConfiguration()
     old, new = configuration_parts(4, b"x" * 3_000), configuration_parts(5, b"y" * 2_500)
     handed.add(old[:2])
@@ -344,7 +344,7 @@
     assert handed.assemble(5) == b"y" * 2_500
 
 
-def test_a_box_that_starts_is_told_the_members_by_any_box_and_all_else_by_a_member():
+def test_a_starting_box_learns_the_members_from_any_box_and_the_rest_from_a_member():
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 4, read_s=9.5)
@@ -363,8 +363,8 @@
     assert set(fresh._registry.entries) == {"m.1"}
     assert len(wire.asks) == asked + 1
     member.take(Gossip("a", vouch_asks=wire.asks[-1:]), ("10.0.0.2", 2))
-    for told in member_wire.handed:
-        fresh.take(Gossip("m", configuration_parts=[told]), ("10.0.0.1", 1))
+    for received in member_wire.handed:
+        fresh.take(Gossip("m", configuration_parts=[received]), ("10.0.0.1", 1))
     fresh.take(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
     fresh.take(Gossip("m", list_parts=member_wire.parts), ("10.0.0.1", 1))
     assert fresh._configuration.table.version == 4
@@ -372,7 +372,7 @@
     assert fresh._targets.age_s == fresh._configuration.age_s == 0.5
 
 
-def test_a_box_that_vouches_for_nothing_is_not_asked_again_and_again():
+def test_an_answer_without_news_is_not_followed_by_another_question():
     clock = Clock()
     clock.advance(10.0)
     asker, wire = box(clock, False, 3)
--- a/gladedrum/beliefs/tests/test_reborn_entries.py
+++ b/gladedrum/beliefs/tests/test_restarted_targets.py
@@ -1,7 +1,6 @@
-"""A target that starts again under its name, in the list: read from the store or told by a peer.
+"""A target that restarts under its name, as listed by the store or by a peer.
 
-The name of a target that was gone, or leaving, may come back with a later start: it is a new
-process, and what was seen of the old one says nothing about it.
+A later start is a new process: what is known of the earlier one does not apply to it.
 """
 
 import random
@@ -21,67 +20,67 @@
 
 
 class Listed:
-    """A list of targets on a clock."""
+    """A target list follower on a virtual clock."""
 
     def __init__(self, *entries):
         self.clock = Clock()
         self.clock.advance(100.0)
         self.listed = []
         pace = StorePace(self.clock, random.Random(1))
-        self.keeper = TargetKeeper(
+        self.follower = TargetKeeper(
             self.clock, None, 2.0, lambda _entry: None, pace, self.listed.append
         )
         self.read(*entries)
 
     def read(self, *entries):
         self.clock.advance(0.5)
-        self.keeper._apply_read({e.name: e for e in entries}, self.clock.seconds())
+        self.follower._apply_read({e.name: e for e in entries}, self.clock.seconds())
 
-    def told(self, *entries):
+    def receive(self, *entries):
         self.clock.advance(0.5)
-        self.keeper.apply_peer_list({e.name: e for e in entries}, self.clock.seconds())
+        self.follower.apply_peer_list({e.name: e for e in entries}, self.clock.seconds())
 
     def now(self, name="t1"):
-        return self.keeper.entries.get(name)
+        return self.follower.entries.get(name)
 
 
-def test_a_later_start_of_a_leaving_target_may_get_work():
+def test_a_later_start_of_a_leaving_target_accepts_requests():
     listed = Listed(entry(OLD, leaving=True))
     listed.read(entry(NEW))
-    assert listed.keeper.may_get_work("t1")
+    assert listed.follower.may_get_work("t1")
 
 
-def test_an_earlier_start_that_is_told_late_changes_nothing():
+def test_a_late_list_with_an_earlier_start_changes_nothing():
     listed = Listed(entry(NEW))
-    listed.told(entry(OLD, leaving=True))
+    listed.receive(entry(OLD, leaving=True))
     assert listed.now() == entry(NEW)
 
 
-def test_the_same_start_goes_on_leaving():
+def test_the_same_start_stays_leaving():
     listed = Listed(entry(OLD, leaving=True))
     listed.read(entry(OLD))
-    assert not listed.keeper.may_get_work("t1")
+    assert not listed.follower.may_get_work("t1")
 
 
-def test_a_later_start_of_a_target_that_was_gone_is_taken_from_a_peer_and_the_earlier_is_not():
+def test_a_peers_list_brings_back_a_later_start_of_a_gone_target_but_not_the_same_one():
     listed = Listed(entry(OLD), entry(OLD, name="t2"))
     listed.read(entry(OLD, name="t2"))
     assert listed.now() is None
-    listed.told(entry(OLD), entry(OLD, name="t2"))
+    listed.receive(entry(OLD), entry(OLD, name="t2"))
     assert listed.now() is None
-    listed.told(entry(NEW), entry(OLD, name="t2"))
+    listed.receive(entry(NEW), entry(OLD, name="t2"))
     assert listed.now() == entry(NEW)
-    assert listed.keeper.age_s == 0
+    assert listed.follower.age_s == 0
 
 
-def test_each_entry_that_is_new_or_has_started_again_is_told():
+def test_new_and_restarted_targets_are_reported():
     listed = Listed(entry(OLD), entry(OLD, name="t2"))
     listed.listed.clear()
     listed.read(entry(NEW), entry(OLD, name="t2"))
     assert listed.listed == [entry(NEW)]
 
 
-def test_peers_hand_the_start_on():
+def test_lists_from_peers_include_the_start():
     before, now = {"t1": entry(OLD)}, {"t1": entry(NEW)}
     assert whole_list(list_parts(1, None, now, 0.1)) == now
     assert changed_list(before, list_parts(1, before, now, 0.1)) == now
--- a/gladedrum/beliefs/tests/test_store_from_copy.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -1,10 +1,8 @@
-"""A store that comes back from a copy some seconds old, against the stand-in.
+"""Restore of the store from a copy some seconds old, against the stand-in.
 
-Seen with boxes as they were: a configuration written between two watches was passed over, since its
-revision had been given out before; a box that started after the store went back wasn't listed by
-those that ran before; a box renewed the lease of another one, which had been given out again, for
-its own, and its entry was gone for good. Cause: a revision and a lease were a number that means the
-same for ever.
+A restored store reissues revisions and leases. Guards against missing a configuration written under
+a reissued revision, against lists that omit boxes started after the restore, and against renewing
+a reissued lease that belongs to another box.
 """
 
 import json
@@ -25,11 +23,11 @@
 WAIT_S = 8.0
 
 
-class FromCopyCase(StoreCase):
-    """Parts of boxes against one stand-in."""
+class RestoreCase(StoreCase):
+    """Runs parts of boxes against one stand-in."""
 
     def run_part(self, part, store):
-        """Run a part of a box, which is told of a new era as boxes tell theirs."""
+        """Run a part of a box and notify it of restores, as a box does."""
         store.on_era.append(lambda _before, _era: part.note_era())
         self.running.append(start(part.run()))
         return part
@@ -53,8 +51,8 @@
             StorePace(reactor, random.Random(1), lambda: False, lambda: False),
             self.store(),
         )
-        keeper = TargetKeeper(reactor, TargetFeed(store), 2.0, lambda _entry: None, pace)
-        return self.run_part(keeper, store)
+        follower = TargetKeeper(reactor, TargetFeed(store), 2.0, lambda _entry: None, pace)
+        return self.run_part(follower, store)
 
     def write_version(self, version, *keys):
         owners = {key: Organisation("org", None) for key in keys}
@@ -80,42 +78,42 @@
         return {k.removeprefix(prefix) for k in self.service._entries if k.startswith(prefix)}
 
 
-class ConfigurationFromCopyTest(FromCopyCase):
-    """The configuration."""
+class ConfigurationRestoreTest(RestoreCase):
+    """The operator's configuration."""
 
-    async def test_a_version_whose_revision_was_given_out_before_is_seen(self):
+    async def test_a_version_under_a_reissued_revision_is_seen(self):
         self.write_version(1)
         self.service.keep_copy()
         for number in range(5):
             self.service.write("other", b"%d" % number)
-        kept = self.configuration()
-        assert await self.until(lambda: kept.table is not None)
+        configuration = self.configuration()
+        assert await self.until(lambda: configuration.table is not None)
         self.service.go_back(None)
         self.write_version(2)
         for number in range(20):
             self.service.write("other", b"%d" % number)
-        assert await self.until(lambda: kept.table.version == 2, 4.0)
+        assert await self.until(lambda: configuration.table.version == 2, 4.0)
 
-    async def test_what_is_in_force_stays_until_as_new_a_version_is_read(self):
+    async def test_the_configuration_in_force_stays_until_the_store_has_caught_up(self):
         self.write_version(1, "old")
         self.service.keep_copy()
         self.write_version(2, "new")
-        kept = self.configuration()
-        assert await self.until(lambda: kept.table is not None)
+        configuration = self.configuration()
+        assert await self.until(lambda: configuration.table is not None)
         self.service.go_back(2.5)
-        vouched_s = kept._confirmed_s
+        confirmed_s = configuration._confirmed_s
         for _ in range(40):
             await sleep(reactor, 0.05)
-            assert kept.table.version == 2
-        # What a copy says is no word on what was changed since.
-        assert kept._confirmed_s <= vouched_s + 1.3
-        assert await self.until(lambda: kept.age_s < 0.5, 4.0)
+            assert configuration.table.version == 2
+            # A restored copy says nothing about changes made since it was taken.
+        assert configuration._confirmed_s <= confirmed_s + 1.3
+        assert await self.until(lambda: configuration.age_s < 0.5, 4.0)
 
 
-class BoxesFromCopyTest(FromCopyCase):
-    """The boxes' entries and leases."""
+class MembershipRestoreTest(RestoreCase):
+    """Entries and leases of boxes."""
 
-    async def test_boxes_that_start_later_and_those_that_ran_before_know_each_other(self):
+    async def test_boxes_started_before_and_after_the_restore_know_each_other(self):
         first = self.box("a.1", 1)
         assert await self.until(lambda: "a.1" in self.entry_names())
         self.service.keep_copy()
@@ -127,7 +125,7 @@
         second = self.box("b.1", 2)
         assert await self.until(lambda: "b.1" in first.entries and "a.1" in second.entries)
 
-    async def test_a_lease_that_is_given_out_again_is_not_taken_for_ones_own(self):
+    async def test_a_reissued_lease_of_another_box_is_not_renewed_or_ended(self):
         first = self.box("a.1", 1)
         self.service.keep_copy()
         assert await self.until(lambda: "a.1" in self.entry_names())
@@ -141,34 +139,36 @@
         assert second.is_registered
 
 
-class TargetsFromCopyTest(FromCopyCase):
-    """The list of targets."""
+class TargetListRestoreTest(RestoreCase):
+    """The target list."""
 
-    async def test_what_the_copy_lacks_may_come_back(self):
+    async def test_targets_missing_from_the_copy_may_reappear(self):
         self.write_target("t1")
         self.service.keep_copy()
         self.write_target("t2")
-        kept = self.targets()
-        assert await self.until(lambda: "t2" in kept.entries)
+        targets = self.targets()
+        assert await self.until(lambda: "t2" in targets.entries)
         self.service.go_back(None)
         for _ in range(round((REAPPEAR_GRACE_S - 1.0) / 0.05)):
             await sleep(reactor, 0.05)
-            assert kept.may_get_work("t2")
+            assert targets.may_get_work("t2")
         self.write_target("t2")
         await sleep(reactor, 3.0)
-        assert kept.may_get_work("t2")
+        assert targets.may_get_work("t2")
 
-    async def test_what_leaves_goes_on_leaving_and_what_was_gone_is_not_brought_back(self):
+    async def test_leaving_targets_stay_leaving_and_gone_ones_stay_gone(self):
         self.write_target("t1")
         self.write_target("t2")
         self.service.keep_copy()
-        kept = self.targets()
-        assert await self.until(lambda: len(kept.entries) == 2)
+        targets = self.targets()
+        assert await self.until(lambda: len(targets.entries) == 2)
         self.write_target("t1", "draining")
         self.service.remove("servers/t2")
-        assert await self.until(lambda: not kept.may_get_work("t1") and "t2" not in kept.entries)
+        assert await self.until(
+            lambda: not targets.may_get_work("t1") and "t2" not in targets.entries
+        )
         self.service.go_back(None)
         for _ in range(60):
             await sleep(reactor, 0.05)
-            assert not kept.may_get_work("t1")
-            assert not kept.may_get_work("t2")
+            assert not targets.may_get_work("t1")
+            assert not targets.may_get_work("t2")
