--- a/gladedrum/beliefs/__init__.py
+++ b/gladedrum/beliefs/__init__.py
@@ -1,6 +1,7 @@
-"""What a box believes, since when, and from whom: configuration, list of targets, other boxes.
+"""A box's copies of shared state, with their ages: configuration, target list and other boxes.
 
-In come answers of the platform's store and of peers, each with the time at which its question was
-sent; out go values with an age. Who vouches for whom is decided here. May import `gossip`,
-`platform`, `fleet`, `routes` and `table`; nothing of placing, connections or requests.
+The copies are read from the platform's store or received from peers; their age counts from the time
+at which the confirming call or question was sent. This package also decides which boxes read the
+store for others. It may import `gossip`, `platform`, `fleet`, `routes` and `table`, but nothing of
+placement, connections or requests.
 """
--- a/gladedrum/beliefs/target_list.py
+++ b/gladedrum/beliefs/target_list.py
@@ -180,7 +180,7 @@
             self._apply_read(listed, sent_s)
 
     def confirm_from_peer(self, digest: str, sent_s: float, age_s: float) -> None:
-        """Confirm the list if it equals a peer's, which was `age_s` old after `sent_s`."""
+        """Confirm the list if a peer, asked at `sent_s`, has an equal one that is `age_s` old."""
         if digest == self.digest:
             self._note_vouched(sent_s - age_s)
 
