--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -95,7 +95,7 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the last call that confirmed the configuration was sent."""
+        """Age of the configuration: seconds since the last confirming call was sent."""
         return self._clock.seconds() - self._confirmed_s
 
     @property
--- a/gladedrum/beliefs/target_list.py
+++ b/gladedrum/beliefs/target_list.py
@@ -103,7 +103,7 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the last call that confirmed the list was sent."""
+        """Age of the list: seconds since the last confirming call was sent."""
         return self._clock.seconds() - self._read_s
 
     @property
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -36,7 +36,7 @@
 
 
 class StoreCalls:
-    """One box's client of a `VirtualStore`; reports a new store epoch like the real client."""
+    """One box's client of a `VirtualStore`; reports a restore like the real client."""
 
     def __init__(self, store: "VirtualStore"):
         self._store = store
--- a/gladedrum/beliefs/tests/test_leaving.py
+++ b/gladedrum/beliefs/tests/test_leaving.py
@@ -24,7 +24,7 @@
     return box
 
 
-def member_count(fleet, box):
+def membership_count(fleet, box):
     """Return how many other boxes have a box in their coordinator group."""
     others = [other for other in fleet.boxes.values() if other is not box]
     return sum(box.beliefs.circle.me in other.beliefs.circle.members() for other in others)
@@ -34,7 +34,7 @@
     box = stopping(fleet)
     for _ in range(8):
         fleet.run(DRAIN_S / 8)
-        assert member_count(fleet, box) == BOXES - 1
+        assert membership_count(fleet, box) == BOXES - 1
         received = [o for o in fleet.boxes.values() if box.address in o.beliefs.circle.audience()]
         assert len(received) == BOXES - 1
 
@@ -45,9 +45,9 @@
     fleet.run(DRAIN_S)
     box.end()
     fleet.run(0.05)
-    assert member_count(fleet, box) == 0
+    assert membership_count(fleet, box) == 0
     fleet.run(3.0)
-    assert member_count(fleet, box) == 0
+    assert membership_count(fleet, box) == 0
     assert all(other.beliefs.registry.count == BOXES - 1 for other in fleet.boxes.values())
 
 
@@ -87,7 +87,7 @@
     started = fleet.start(0)
     fleet.run(0.2)
     assert started.address == box.address
-    assert member_count(fleet, started) == BOXES - 1
+    assert membership_count(fleet, started) == BOXES - 1
 
 
 def test_a_stopping_box_and_a_starting_one_know_each_other(fleet):
@@ -100,8 +100,8 @@
     fleet.run(0.9)
     started = fleet.start(0)
     fleet.run(0.3)
-    assert member_count(fleet, started) == BOXES - 1
-    assert member_count(fleet, second) == BOXES - 1
+    assert membership_count(fleet, started) == BOXES - 1
+    assert membership_count(fleet, second) == BOXES - 1
 
 
 def test_a_stopping_box_of_an_earlier_version_has_not_ended(fleet):
@@ -123,4 +123,4 @@
     box.end()
     for _ in range(20):
         fleet.run(0.5)
-        assert member_count(fleet, box) == 0
+        assert membership_count(fleet, box) == 0
