--- a/gladedrum/forward/tests/crashing.py
+++ b/gladedrum/forward/tests/crashing.py
@@ -1,8 +1,9 @@
-"""Engines that some requests end, in virtual time, on the wire of `support`.
+"""A fleet of boxes and engines in virtual time, in which some requests crash their engine.
 
-Each engine answers reports and requests. One that begins to run a deadly request ends a while
-later: its connections break, new ones are refused, and after some seconds it is back with a later
-start. What was sent, and what ended when, is kept for the checks.
+Built on the simulated network of `support`. Engines answer requests and report requests. An engine
+that starts a *deadly* request (a query of death) crashes shortly after: its connections break, new
+ones are refused, and it restarts a few seconds later with a higher generation. The fleet records
+what was sent to engines, and which engine crashed when.
 """
 
 import json
@@ -19,41 +20,50 @@
 from gladedrum.scheduling.engine_model import EngineTraits
 from gladedrum.utils import start
 
-BEGINS_S, ENDS_S, EVENT_S, AWAY_S = 0.03, 0.08, 0.04, 2.0
-"""A request begins so long after it has arrived; a deadly one ends its engine so long after that;
-others write an event so often. The engine is back after so long."""
-EVENTS = 5
-WAY_S = 0.002
-"""A datagram between boxes."""
+START_DELAY_S, CRASH_DELAY_S, EVENT_INTERVAL_S, RESTART_DELAY_S = 0.03, 0.08, 0.04, 2.0
+"""An engine starts a request `START_DELAY_S` after its arrival. A deadly one crashes the engine
+`CRASH_DELAY_S` later, others write an event every `EVENT_INTERVAL_S`. A crashed engine is back
+after `RESTART_DELAY_S`."""
+EVENTS_PER_STREAM = 5
+DATAGRAM_DELAY_S = 0.002
+"""Latency of a datagram between boxes."""
 
 
 @dataclass
 class Run:
-    """A request at an engine."""
+    """A request that an engine has received."""
 
     side: object
     body: bytes
     request_id: bytes
     arrived_s: float
-    written: int = 0
-    over: bool = False
+    events_written: int = 0
+    finished: bool = False
 
 
 @dataclass
 class Engine:
-    """One target: its address, its start, what it runs."""
+    """A simulated engine; `generation` identifies its process and grows with each restart."""
 
     port: int
-    born: int = 1_000
+    generation: int = 1_000
     up: bool = True
     runs: list[Run] = field(default_factory=list)
 
 
 class CrashingFleet:
-    """Boxes and engines; bodies in `deadly` end each engine that begins them.
-
-    `lost` says of each datagram, by its sender and receiver, whether it is lost; `traits` is None
-    where the targets are plain services.
+    """Boxes and engines; a request whose body is in `deadly` crashes each engine that starts it.
+
+    Attributes
+    ----------
+    traits : EngineTraits or None
+        The engine model; None if the targets are plain services.
+    sent : list of (time, body, port)
+        Requests that reached an engine.
+    crashes : list of (time, port, bodies)
+        Crashes of engines, with the requests that the engine had started.
+    is_lost : callable
+        Whether a datagram from a sender to a receiver is lost.
     """
 
     traits: EngineTraits | None = EngineTraits()
@@ -70,36 +80,36 @@
         self.deadly = set(deadly)
         self.engines = {9000 + i: Engine(9000 + i) for i in range(1, targets + 1)}
         self.sent: list[tuple[float, bytes, int]] = []
-        self.ended: list[tuple[float, int, tuple[bytes, ...]]] = []
-        self.lost: Callable[[str, str], bool] = lambda _sender, _receiver: False
+        self.crashes: list[tuple[float, int, tuple[bytes, ...]]] = []
+        self.is_lost: Callable[[str, str], bool] = lambda _sender, _receiver: False
         self._route = (targets, keys, route)
         self._addresses = {f"box{i}": ("10.0.1.1", i) for i in range(1, boxes + 1)}
         self.boxes: dict[str, World] = {}
         for name in self._addresses:
             self.boxes[name] = self.start_box(name)
-        self.play(4.0)
+        self.advance(4.0)
 
-    # What the tests call.
+    # Interface for tests.
 
     def start_box(self, name: str) -> World:
-        """Return a new start of a box."""
+        """Start a box, or restart it, and return it; the caller puts it into `boxes`."""
         targets, keys, route = self._route
         fields = {"streaming": True, "resumable": True, "max_targets": 2, "pause_objective_s": 0.25}
         peers = {peer: at for peer, at in self._addresses.items() if peer != name}
         box = World(targets, self.traits, net=self.net, me=name, peers=peers, **fields | route)
-        box.vouch(box.table(self.traits, version=2, keys=keys, **fields | route))
+        box.confirm_configuration(box.table(self.traits, version=2, keys=keys, **fields | route))
         box.port.transport = SimpleNamespace(write=partial(self._send, name))
-        start(self._reader(name, box).run())
+        start(self._report_reader(name, box).run())
         return box
 
     @property
     def other_organisation(self) -> Organisation:
-        """An organisation beside that of `World`."""
+        """An organisation other than that of `World`."""
         return Organisation("other", None)
 
-    def end(self, engine: Engine) -> None:
-        """End an engine for a reason of its own."""
-        self._end(engine, self.net.seconds())
+    def crash(self, engine: Engine) -> None:
+        """Crash an engine independently of its requests."""
+        self._crash(engine, self.net.seconds())
 
     def ask(self, body: bytes, box: str = "box1", key: str = "k1", path: bytes = b"/x/2f"):
         """Have a new caller send a request to a box; return the caller."""
@@ -107,67 +117,67 @@
         caller.ask(body, path, key=key.encode())
         return caller
 
-    def play(self, seconds: float, step_s: float = 0.01) -> None:
-        """Let time pass."""
+    def advance(self, seconds: float, step_s: float = 0.01) -> None:
+        """Advance the virtual clock."""
         for _ in range(round(seconds / step_s)):
-            self._serve()
+            self._serve_connections()
             for box in self.boxes.values():
                 box.configuration._vouch(self.net.seconds())
             self.net.advance(step_s)
 
-    def ends_of(self, body: bytes) -> list[float]:
-        """Return when engines ended that had begun a request, in order."""
-        return [at_s for at_s, _port, bodies in self.ended if body in bodies]
+    def crash_times_of(self, body: bytes) -> list[float]:
+        """Return the times at which engines crashed while running a request, in order."""
+        return [at_s for at_s, _port, bodies in self.crashes if body in bodies]
 
     def sent_after(self, body: bytes, at_s: float) -> int:
-        """Return how often a request was sent to engines after a time."""
+        """Return how often a request was sent to engines after a point in time."""
         return sum(sent_s > at_s for sent_s, sent, _port in self.sent if sent == body)
 
     # Datagrams and reports.
 
     def _send(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
         receiver = next(name for name, at in self._addresses.items() if at == address)
-        if not self.lost(sender, receiver):
-            self.net.callLater(WAY_S, self._deliver, sender, receiver, data)
+        if not self.is_lost(sender, receiver):
+            self.net.callLater(DATAGRAM_DELAY_S, self._deliver, sender, receiver, data)
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
         if receiver in self.boxes:
             self.boxes[receiver].port.datagramReceived(data, self._addresses[sender])
 
-    def _reader(self, name: str, box: World) -> ReportReader:
+    def _report_reader(self, name: str, box: World) -> ReportReader:
         return ReportReader(
             self.net,
             box.ctx.pool,
             box.view,
             lambda: box.targets.entries.values(),
             name,
-            lambda: self._readers(name, box),
+            lambda: self._report_readers(name, box),
             box.port.tell_report,
         )
 
-    def _readers(self, name: str, box: World) -> list[str]:
-        """Return the boxes that read reports: members of the circle that live."""
+    def _report_readers(self, name: str, box: World) -> list[str]:
+        """Return the running members of the circle, which read reports."""
         if name not in self.boxes:
             return []
         return [member for member in box.circle.members() if member in self.boxes]
 
-    # The engines.
+    # Engines.
 
-    def _serve(self) -> None:
+    def _serve_connections(self) -> None:
         now_s = self.net.seconds()
         for index, side in enumerate(self.net.opened):
             if not side.closed and side.sent:
-                self._take(index, side)
+                self._receive(index, side)
         for engine in self.engines.values():
             if engine.up:
-                self._advance(engine, now_s)
+                self._run_requests(engine, now_s)
 
-    def _take(self, _index: int, side) -> None:
+    def _receive(self, _index: int, side) -> None:
         engine = self.engines[side.place[1]]
         if not engine.up:
-            side.break_off()
+            side.disconnect()
             return
-        data = side.wire.take()
+        data = side.wire.pop_written()
         head, _, body = data.partition(b"\r\n\r\n")
         if head.split(b" ")[1] == wire.REPORT_PATH.encode():
             side.reply(_report(engine))
@@ -176,42 +186,42 @@
         self.sent.append((self.net.seconds(), body, engine.port))
         engine.runs.append(Run(side, body, request_id, self.net.seconds()))
 
-    def _advance(self, engine: Engine, now_s: float) -> None:
-        engine.runs = [run for run in engine.runs if not run.over and not run.side.closed]
+    def _run_requests(self, engine: Engine, now_s: float) -> None:
+        engine.runs = [run for run in engine.runs if not run.finished and not run.side.closed]
         for run in engine.runs:
-            ran_s = now_s - run.arrived_s - BEGINS_S
+            ran_s = now_s - run.arrived_s - START_DELAY_S
             if run.body in self.deadly:
-                if ran_s >= ENDS_S:
-                    self._end(engine, now_s)
+                if ran_s >= CRASH_DELAY_S:
+                    self._crash(engine, now_s)
                     return
-            elif ran_s >= run.written * EVENT_S:
+            elif ran_s >= run.events_written * EVENT_INTERVAL_S:
                 self._write(run)
 
     def _write(self, run: Run) -> None:
-        if not run.written:
+        if not run.events_written:
             run.side.reply(stream_head().replace(b"id-1", run.request_id))
-        run.written += 1
-        run.side.reply(chunk(event(run.written)))
-        if run.written == EVENTS:
-            run.over = True
+        run.events_written += 1
+        run.side.reply(chunk(event(run.events_written)))
+        if run.events_written == EVENTS_PER_STREAM:
+            run.finished = True
             run.side.reply(chunk(b""))
 
-    def _end(self, engine: Engine, now_s: float) -> None:
-        began = tuple(r.body for r in engine.runs if now_s - r.arrived_s >= BEGINS_S)
-        self.ended.append((now_s, engine.port, began))
+    def _crash(self, engine: Engine, now_s: float) -> None:
+        began = tuple(r.body for r in engine.runs if now_s - r.arrived_s >= START_DELAY_S)
+        self.crashes.append((now_s, engine.port, began))
         engine.up, engine.runs = False, []
         self.net.refusing.add(engine.port)
         for side in self.net.opened:
             if side.place[1] == engine.port and not side.closed:
-                side.break_off()
-        self.net.callLater(AWAY_S, self._start_again, engine)
+                side.disconnect()
+        self.net.callLater(RESTART_DELAY_S, self._restart, engine)
 
-    def _start_again(self, engine: Engine) -> None:
-        engine.up, engine.born = True, engine.born + 1_000
+    def _restart(self, engine: Engine) -> None:
+        engine.up, engine.generation = True, engine.generation + 1_000
         self.net.refusing.discard(engine.port)
 
 
 def _report(engine: Engine) -> bytes:
     row = {"waiting": 0, "running": len(engine.runs), "pace": 1.0, "kvUsed": 0, "kvTotal": 232_000}
-    body = json.dumps({**row, "tickets": [], "born": engine.born}).encode()
+    body = json.dumps({**row, "tickets": [], "born": engine.generation}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
--- a/gladedrum/forward/tests/saying.py
+++ b/gladedrum/forward/tests/saying.py
@@ -1,24 +1,25 @@
-"""Targets that say that they leave, or want rest, in virtual time, on the wire of `support`.
+"""A fleet whose targets announce in their answers that they leave, or request a pause.
 
-The store says nothing of it. All that reaches a target is kept with the box that sent it, as in
-`limiting`; the checks count what came from boxes that the target had told.
+The store's list of targets shows neither. A target requests a pause by a refusal with Retry-After.
+Arrivals are recorded as in `limiting`; checks count those from boxes that the target has informed.
 """
 
 import re
 from typing import NamedTuple
 
-from gladedrum.forward.tests.limiting import Arrival, LimitingFleet, is_report
+from gladedrum.forward.tests.limiting import Arrival, RateLimitingFleet, is_report
 from gladedrum.forward.tests.support import answer
 from gladedrum.platform import wire
 
 LEAVE_BOUND_S = 2.0
-"""After so long a target gets nothing from a box that it has told that it leaves."""
-REST_FROM_S, MOST_IN_REST = 0.5, 2
-"""What reaches a target from so long after it has asked a box for rest, at most, until its end."""
+"""Within this time a box must stop sending to a target that has announced to it that it leaves."""
+PAUSE_COUNTED_AFTER_S, MAX_DURING_PAUSE = 0.5, 2
+"""From `PAUSE_COUNTED_AFTER_S` after its refusal until the end of the pause, a target may get at
+most `MAX_DURING_PAUSE` HTTP requests of any kind from the box."""
 
 
-class AskedRest(NamedTuple):
-    """A target has asked a box for rest, from when until when."""
+class RequestedPause(NamedTuple):
+    """A pause that a target has requested from a box."""
 
     port: int
     box: str
@@ -26,37 +27,39 @@
     to_s: float
 
 
-class SayingFleet(LimitingFleet):
-    """Boxes and engines, which leave or want rest when they are told to."""
+class StatementFleet(RateLimitingFleet):
+    """Boxes and engines; tests make engines announce leaving or request pauses."""
 
     def __init__(self, targets: int = 4, boxes: int = 3, **route):
         self.leaving: dict[int, bytes] = {}
-        self.told_leaving: dict[tuple[int, str], float] = {}
-        self.turning_away: dict[tuple[int, str], bytes] = {}
-        self.rests: list[AskedRest] = []
+        self.leaving_announced_s: dict[tuple[int, str], float] = {}
+        self.refusals: dict[tuple[int, str], bytes] = {}
+        self.pauses: list[RequestedPause] = []
         super().__init__(targets, boxes, **route)
 
-    # What the tests call.
+    # Interface for tests.
 
-    def leave(self, port: int, word: bytes = b"1") -> None:
-        """Have a target say in all answers that it leaves."""
+    def announce_leaving(self, port: int, word: bytes = b"1") -> None:
+        """Have a target announce in all answers that it leaves; `word` is the header's value."""
         self.leaving[port] = word
 
-    def turn_away(self, port: int, rest: bytes, boxes: tuple[str, ...] = ()) -> None:
-        """Have a target turn boxes (none given: all) away and ask each for rest."""
+    def refuse_and_request_pause(
+        self, port: int, pause: bytes, boxes: tuple[str, ...] = ()
+    ) -> None:
+        """Have a target refuse requests of boxes (default: all) with this Retry-After value."""
         for box in boxes or self.boxes:
-            self.turning_away[port, box] = rest
+            self.refusals[port, box] = pause
 
-    def serve_again(self, port: int) -> None:
-        """Have a target turn nobody away any more."""
-        self.turning_away = {key: rest for key, rest in self.turning_away.items() if key[0] != port}
+    def stop_refusing(self, port: int) -> None:
+        """Have a target accept requests of all boxes again."""
+        self.refusals = {key: pause for key, pause in self.refusals.items() if key[0] != port}
 
     def busiest(self) -> int:
-        """Return the target that has got most requests."""
+        """Return the port of the target that has received most requests."""
         return max(self.engines, key=self.requests_at)
 
-    def came(self, port: int, from_s: float, box: str | None = None) -> list[Arrival]:
-        """Return the requests of callers that have reached a target since a time, from a box."""
+    def requests_received(self, port: int, from_s: float, box: str | None = None) -> list[Arrival]:
+        """Return callers' requests that reached a target since `from_s`, from one or all boxes."""
         return [
             a
             for a in self.arrivals
@@ -66,55 +69,55 @@
             and not is_report(a)
         ]
 
-    def late_at(self, port: int) -> list[Arrival]:
-        """Return the requests of callers that came too late after a target had said it leaves."""
-        told = self.told_leaving
+    def late_requests(self, port: int) -> list[Arrival]:
+        """Return requests that a box sent later than `LEAVE_BOUND_S` after it was informed."""
+        announced_s = self.leaving_announced_s
         return [
             a
-            for a in self.came(port, 0.0)
-            if a.at_s > told.get((port, a.box), float("inf")) + LEAVE_BOUND_S
+            for a in self.requests_received(port, 0.0)
+            if a.at_s > announced_s.get((port, a.box), float("inf")) + LEAVE_BOUND_S
         ]
 
-    def most_in_rest(self) -> int:
-        """Return the most of all kinds that reached a target from one box while it wanted rest."""
-        return max((self._in_rest(rest) for rest in self.rests), default=0)
+    def most_during_pause(self) -> int:
+        """Return the maximum of arrivals of any kind from a box during one of its pauses."""
+        return max((self._arrivals_during(pause) for pause in self.pauses), default=0)
 
-    def _in_rest(self, rest: AskedRest) -> int:
+    def _arrivals_during(self, pause: RequestedPause) -> int:
         return sum(
-            a.port == rest.port
-            and a.box == rest.box
-            and rest.from_s + REST_FROM_S <= a.at_s < rest.to_s
+            a.port == pause.port
+            and a.box == pause.box
+            and pause.from_s + PAUSE_COUNTED_AFTER_S <= a.at_s < pause.to_s
             for a in self.arrivals
         )
 
-    # The targets.
+    # Targets.
 
-    def _take(self, index: int, side) -> None:
+    def _receive(self, index: int, side) -> None:
         engine, box = self.engines[side.place[1]], self._box_of(side)
-        rest = self.turning_away.get((engine.port, box))
+        pause = self.refusals.get((engine.port, box))
         is_request = wire.REPORT_PATH.encode() not in side.sent.split(b"\r\n")[0]
-        if not engine.up or rest is None or not is_request:
-            super()._take(index, side)
+        if not engine.up or pause is None or not is_request:
+            super()._receive(index, side)
             return
-        now_s, data = self.net.seconds(), side.wire.take()
+        now_s, data = self.net.seconds(), side.wire.pop_written()
         self.arrivals.append(Arrival(now_s, engine.port, box, data.split(b" ", 2)[1]))
-        self._name_to(side, engine)
-        if re.fullmatch(rb"[0-9.]+", rest):
-            self.rests.append(AskedRest(engine.port, box, now_s, now_s + float(rest)))
+        self._add_statements(side, engine)
+        if re.fullmatch(rb"[0-9.]+", pause):
+            self.pauses.append(RequestedPause(engine.port, box, now_s, now_s + float(pause)))
         request_id = re.search(rb"(?i)%s: (\S+)" % wire.REQUEST_ID, data).group(1)
-        extra = b"%s: 1\r\nRetry-After: %s\r\n" % (wire.NOT_RUN, rest)
+        extra = b"%s: 1\r\nRetry-After: %s\r\n" % (wire.NOT_RUN, pause)
         side.reply(answer(503, b"no", request_id, extra))
 
-    def _says(self, port: int, box: str) -> list[bytes]:
-        said = super()._says(port, box)
+    def _statement_headers(self, port: int, box: str) -> list[bytes]:
+        headers = super()._statement_headers(port, box)
         if port in self.leaving:
-            self.told_leaving.setdefault((port, box), self.net.seconds())
-            said.append(b"Server-Leaving: " + self.leaving[port])
-        return said
+            self.leaving_announced_s.setdefault((port, box), self.net.seconds())
+            headers.append(b"Server-Leaving: " + self.leaving[port])
+        return headers
 
 
-class PlainFleet(SayingFleet):
-    """The same with plain services, which boxes ask for no reports."""
+class PlainFleet(StatementFleet):
+    """The same with plain services, from which boxes request no reports."""
 
     traits = None
 
@@ -123,5 +126,5 @@
         super().__init__(targets, boxes, **plain)
 
     def _write(self, run) -> None:
-        run.over = True
+        run.finished = True
         run.side.reply(answer(200, b"ok", run.request_id))
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -1,7 +1,7 @@
-"""A box's request path on a clock of its own, with scripted callers and targets.
+"""Test harness for a box's request path: virtual clock, scripted callers and targets, no sockets.
 
-No sockets: `Network` is a reactor whose connections end in scripted targets, which keep what they
-were sent and answer with the bytes that a test gives them.
+`World` is a box with its callers. `Network` is a Twisted reactor whose connections end at scripted
+targets (`TargetSide`): they record what the box sent, and answer with the bytes that a test gives.
 """
 
 import random
@@ -41,8 +41,8 @@
 KEY_BOUND_S = 5.0
 
 
-class Wire(StringTransport):
-    """One side of a connection: keeps what was written, notes how it was closed."""
+class RecordingTransport(StringTransport):
+    """A transport that records what was written and how it was closed (empty while open)."""
 
     def __init__(self):
         super().__init__()
@@ -66,18 +66,18 @@
             self.closed = how
             self.proto.connectionLost(Failure(reason))
 
-    def take(self) -> bytes:
+    def pop_written(self) -> bytes:
         data = self.value()
         self.clear()
         return data
 
 
 class TargetSide:
-    """A target's end of a connection that a box has opened."""
+    """The target's end of a connection that a box has opened; `place` is its (host, port)."""
 
     def __init__(self, place, proto):
         self.place = place
-        self.wire = Wire()
+        self.wire = RecordingTransport()
         self.wire.proto = self.proto = proto
         proto.makeConnection(self.wire)
 
@@ -92,14 +92,14 @@
     def reply(self, data: bytes) -> None:
         self.proto.dataReceived(data)
 
-    def break_off(self, orderly: bool = False) -> None:
+    def disconnect(self, orderly: bool = False) -> None:
         reason = error.ConnectionDone() if orderly else error.ConnectionLost()
         self.wire.closed = self.wire.closed or "by the target"
         self.proto.connectionLost(Failure(reason))
 
 
 class Network(MemoryReactorClock):
-    """A reactor whose connections reach scripted targets; `refusing` lists ports that do not."""
+    """A reactor whose connections reach scripted targets, but for the ports in `refusing`."""
 
     def __init__(self):
         super().__init__()
@@ -123,25 +123,40 @@
 
 
 def leave_all() -> None:
-    """Let the callers of all worlds leave, so that no request outlives its test.
+    """Disconnect the callers of all worlds, so that no request outlives its test.
 
-    One that is collected with its world in a later test gives back what it holds there, and fails
-    on connections that are closed already.
+    A request that is garbage-collected during a later test would release its resources there, and
+    fail on closed connections.
     """
     while _callers:
         caller = _callers.pop()
         if not caller.wire.closed:
-            caller.leave()
+            caller.disconnect()
 
 
 class NoFeed:
-    """Stands for a feed of the store that is never read."""
+    """Placeholder for a feed of the store, for tests in which nothing reads it."""
 
 
 class World:
-    """One box, targets ``t1`` to ``tN`` of one service, and callers.
-
-    Several boxes share one network; `peers` are the others' addresses by name.
+    """One box with its callers, and a service with targets ``t1`` to ``tN`` (ports 9001 and up).
+
+    Parameters
+    ----------
+    targets : int
+        Number of targets.
+    engine : EngineTraits, optional
+        The engine model; None if the targets are plain services.
+    keys_expire : bool
+        Whether keys are refused once the configuration is stale.
+    net : Network, optional
+        Shared by several boxes; by default a new one.
+    me : str
+        Name of this box.
+    peers : dict, optional
+        Addresses of the other boxes by name.
+    **route
+        Fields of the `Route` that differ from the defaults of `table`.
     """
 
     def __init__(
@@ -160,13 +175,13 @@
         self.configuration = ConfigurationKeeper(self.net, NoFeed(), 2.0, pace)
         self.targets = TargetKeeper(self.net, NoFeed(), 2.0, lambda _entry: None, pace)
         self.list_targets(targets)
-        self.vouch(self.table(engine, **route))
+        self.confirm_configuration(self.table(engine, **route))
         self.view = FleetView()
-        self.view.on_reborn = self._target_reborn
+        self.view.on_reborn = self._on_target_restart
         self.tasks = []
         self.circle = circle = Circle(me, lambda: peers)
-        heard = circle.audience if peers else lambda: ()
-        self.port = GossipPort(me, self.net, heard, peers.values, self._take_gossip)
+        audience = circle.audience if peers else lambda: ()
+        self.port = GossipPort(me, self.net, audience, peers.values, self._receive_gossip)
         chooser = Chooser(me, self.net, self.targets, self.view)
         placer = Placer(
             self.net, circle, chooser, self.targets, self.view, self.port, self._service
@@ -212,7 +227,7 @@
         owners = {key: Organisation("org", None) for key in keys}
         return RouteTable(version, (row,), {"s": Service("s", engine)}, owners)
 
-    def vouch(self, table: RouteTable | None = None) -> None:
+    def confirm_configuration(self, table: RouteTable | None = None) -> None:
         self.configuration._apply(table)
         self.configuration._vouch(self.net.seconds())
 
@@ -222,13 +237,13 @@
             for i in range(1, count + 1)
         }
 
-    def _take_gossip(self, told, address):
-        self.view.take(told, self.targets.entries.keys(), self.net.seconds())
-        self.ctx.placer.take(told, address)
-        self.ctx.repeats.take_told(told, address)
-        self.ctx.suspicion.take(told)
-        self.ctx.rates.take(told, address)
-        self.statements.take(told)
+    def _receive_gossip(self, message, address):
+        self.view.take(message, self.targets.entries.keys(), self.net.seconds())
+        self.ctx.placer.take(message, address)
+        self.ctx.repeats.take_told(message, address)
+        self.ctx.suspicion.take(message)
+        self.ctx.rates.take(message, address)
+        self.statements.take(message)
 
     def _service(self, name):
         return self.configuration.table.services[name]
@@ -239,7 +254,7 @@
         self.tasks.append(task)
         return task
 
-    def _target_reborn(self, name):
+    def _on_target_restart(self, name):
         self.targets.note_start(name, self.view.state(name).born)
         for task in self.tasks:
             task.target_reborn(name)
@@ -248,7 +263,7 @@
         return Caller(self)
 
     def digest_of(self, body: bytes) -> bytes:
-        """Return the digest of a request as `Caller.ask` sends it."""
+        """Return the request digest of a body sent by `Caller.ask` with default arguments."""
         headers = [(b"host", b"a.example")]
         return request_digest(CallerRequest(b"POST", b"/x/2f", headers, body, 0.0), "org")
 
@@ -261,18 +276,18 @@
         self.net.advance(0)
 
     def attempt(self, index: int = -1) -> TargetSide:
-        """Return the target's end of a connection that has been opened."""
+        """Return the target's end of a connection of the box, by default the latest."""
         self.run()
         return self.net.opened[index]
 
 
 class Caller:
-    """A caller's end of a connection to the box."""
+    """The caller's end of a connection to the box; `got` holds the bytes received so far."""
 
     def __init__(self, world: World):
         self.world = world
         self.proto: protocol.Protocol = world.factory.buildProtocol(None)
-        self.wire = Wire()
+        self.wire = RecordingTransport()
         self.wire.proto = self.proto
         self.proto.makeConnection(self.wire)
         _callers.append(self)
@@ -303,7 +318,7 @@
             head += b"Content-Length: %d\r\n" % len(body)
         self.send(head + b"\r\n" + (body or b""))
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.wire.closed = "by the caller"
         self.proto.connectionLost(Failure(error.ConnectionDone()))
         self.world.run()
@@ -312,7 +327,7 @@
 def answer(
     status: int = 200, body: bytes = b"ok", request_id: bytes = b"id-1", extra: bytes = b""
 ) -> bytes:
-    """Return the bytes of a target's whole answer."""
+    """Return the bytes of a complete answer of a target."""
     return b"HTTP/1.1 %d X\r\n%s: %s\r\n%s: seal-%s\r\n%sContent-Length: %d\r\n\r\n%s" % (
         status,
         wire.REQUEST_ID,
@@ -326,7 +341,7 @@
 
 
 def not_run(status: int = 503) -> bytes:
-    """Return an answer by which a target vouches that it did not run the request."""
+    """Return an answer in which a target states that it did not run the request."""
     return answer(status, b"no", extra=b"%s: 1\r\n" % wire.NOT_RUN)
 
 
@@ -338,7 +353,7 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a chunk of a chunked body; of no data, the last one."""
+    """Return a chunk of a chunked body; without data, the final chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
--- a/gladedrum/forward/tests/test_condemned_page.py
+++ b/gladedrum/forward/tests/test_condemned_page.py
@@ -1,4 +1,4 @@
-"""The operators' page of condemned requests."""
+"""The operators' HTTP page of condemned requests: listing and lifting."""
 
 import json
 
@@ -9,14 +9,14 @@
 from gladedrum.forward.tests.support import World
 from gladedrum.scheduling.suspects import TargetStart
 
-BAD = bytes(range(16))
+DIGEST = bytes(range(16))
 
 
 @pytest.fixture
 def page():
     world = World()
     for number in (1, 2, 3):
-        world.ctx.suspicion.note_lost(BAD, [f"t{number}"], "r", "org")
+        world.ctx.suspicion.note_lost(DIGEST, [f"t{number}"], "r", "org")
         world.view.suspects.note_ended(TargetStart(f"t{number}", 0), world.net.seconds())
     return CondemnedPage(world.ctx.suspicion, "secret")
 
@@ -31,21 +31,21 @@
     return request.responseCode, json.loads(body)
 
 
-def test_it_shows_which_why_and_until_when(page):
+def test_page_lists_condemned_requests_with_targets_and_time_left(page):
     status, body = call(page, b"GET")
     (row,) = body["condemned"]
     assert status == 200
-    assert row["request_digest"] == BAD.hex()
+    assert row["request_digest"] == DIGEST.hex()
     assert (row["route"], row["organisation"]) == ("r", "org")
     assert row["targets"] == ["t1", "t2", "t3"]
     assert row["left_s"] == 600.0
 
 
-def test_one_can_be_lifted_with_the_token_alone(page):
-    path = [BAD.hex().encode()]
+def test_lifting_requires_the_token(page):
+    path = [DIGEST.hex().encode()]
     assert call(page, b"DELETE", path)[0] == 401
     assert call(page, b"DELETE", path, "wrong")[0] == 401
     assert call(page, b"DELETE", [b"no digest"], "secret")[0] == 400
-    assert call(page, b"DELETE", path, "secret") == (200, {"lifted": BAD.hex()})
+    assert call(page, b"DELETE", path, "secret") == (200, {"lifted": DIGEST.hex()})
     assert call(page, b"DELETE", path, "secret")[0] == 404
     assert call(page, b"GET")[1] == {"condemned": []}
--- a/gladedrum/forward/tests/test_crashing_fleet.py
+++ b/gladedrum/forward/tests/test_crashing_fleet.py
@@ -1,7 +1,7 @@
-"""What becomes of a request that ends engines, and of those beside it, in a fleet of boxes.
+"""Requests that crash engines, in a fleet of boxes: counting, refusal, and sparing the innocent.
 
-See `test_crashing_request` for the incident. Here: who counts it, whose fault it is, what its
-caller gets, and what must not be taken for it.
+Guards against deadly requests that are retried at other boxes, and against condemning requests that
+only shared an engine with one. See `test_crashing_request` for a single box.
 """
 
 import random
@@ -9,7 +9,7 @@
 import pytest
 
 from gladedrum.fleet import TargetReport
-from gladedrum.forward.tests.crashing import AWAY_S, CrashingFleet
+from gladedrum.forward.tests.crashing import RESTART_DELAY_S, CrashingFleet
 from gladedrum.forward.tests.support import World, answer
 from gladedrum.forward.tests.test_reservations import grant_all, long_world, orders, requests
 from gladedrum.outcome import Completed, NotRun
@@ -27,11 +27,11 @@
 def condemn(fleet, body=b"deadly"):
     for _ in range(4):
         fleet.ask(body)
-        fleet.play(0.5)
+        fleet.advance(0.5)
     assert set(standings(fleet, body)) == {Standing.CONDEMNED}
 
 
-def test_a_condemned_request_is_refused_at_once_at_every_box_as_not_run():
+def test_every_box_refuses_a_condemned_request_at_once_as_not_run():
     fleet = CrashingFleet(boxes=3)
     condemn(fleet)
     sent = len(fleet.sent)
@@ -43,151 +43,151 @@
     assert len(fleet.sent) == sent
 
 
-def test_callers_that_come_ten_times_faster_cost_no_further_engine():
+def test_a_higher_request_rate_crashes_no_further_engines():
     fleet = CrashingFleet(boxes=3)
     for index in range(100):
         fleet.ask(b"deadly", f"box{index % 3 + 1}")
-        fleet.play(0.05)
-    assert len(fleet.ended) <= 4
-    assert fleet.sent_after(b"deadly", fleet.ends_of(b"deadly")[2] + 0.2) == 0
+        fleet.advance(0.05)
+    assert len(fleet.crashes) <= 4
+    assert fleet.sent_after(b"deadly", fleet.crash_times_of(b"deadly")[2] + 0.2) == 0
 
 
-def test_the_same_body_of_another_caller_or_at_another_path_is_another_request():
+def test_same_body_from_another_organisation_or_path_is_a_different_request():
     fleet = CrashingFleet(keys=("k1", "k2"))
     fleet.boxes["box1"].configuration.table.organisations["k2"] = fleet.other_organisation
     condemn(fleet)
     fleet.deadly.clear()
-    fleet.play(AWAY_S)
+    fleet.advance(RESTART_DELAY_S)
     for key, path in (("k2", b"/x/2f"), ("k1", b"/x/other")):
         caller = fleet.ask(b"deadly", key=key, path=path)
-        fleet.play(1.0)
+        fleet.advance(1.0)
         assert caller.status == 200, (key, path)
 
 
-def test_boxes_that_hold_the_same_request_at_one_moment_do_not_send_it_three_times_each():
+def test_concurrent_copies_at_several_boxes_share_one_crash_limit():
     fleet = CrashingFleet(targets=16, boxes=6)
     for _ in range(6):
         for name in fleet.boxes:
             fleet.ask(b"deadly", name)
-        fleet.play(0.5)
-    assert len(fleet.ended) <= 6
-    assert fleet.sent_after(b"deadly", fleet.ends_of(b"deadly")[2] + 0.5) == 0
+        fleet.advance(0.5)
+    assert len(fleet.crashes) <= 6
+    assert fleet.sent_after(b"deadly", fleet.crash_times_of(b"deadly")[2] + 0.5) == 0
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_datagram_in_ten_lost_all_boxes_know_in_time(seed):
+def test_all_boxes_condemn_in_time_with_one_datagram_in_ten_lost(seed):
     fleet, rng = CrashingFleet(boxes=5), random.Random(seed)
-    fleet.lost = lambda _sender, _receiver: rng.random() < 0.1
+    fleet.is_lost = lambda _sender, _receiver: rng.random() < 0.1
     for index in range(4):
         fleet.ask(b"deadly", f"box{index + 1}")
-        fleet.play(0.5)
-    fleet.play(fleet.ends_of(b"deadly")[2] + 3.0 - fleet.net.seconds())
+        fleet.advance(0.5)
+    fleet.advance(fleet.crash_times_of(b"deadly")[2] + 3.0 - fleet.net.seconds())
     assert set(standings(fleet)) == {Standing.CONDEMNED}
 
 
-def test_a_box_that_dies_right_after_a_loss_has_told_of_it():
+def test_a_loss_is_reported_even_if_the_box_dies_right_after_it():
     fleet = CrashingFleet(boxes=3)
     caller = fleet.ask(b"deadly", "box1")
-    fleet.play(0.13)
-    assert len(fleet.ended) == 1
-    caller.leave()
+    fleet.advance(0.13)
+    assert len(fleet.crashes) == 1
+    caller.disconnect()
     del fleet.boxes["box1"]
-    fleet.play(0.5)
+    fleet.advance(0.5)
     assert set(standings(fleet)) == {Standing.WATCHED}
     for name in ("box2", "box3", "box2"):
         fleet.ask(b"deadly", name)
-        fleet.play(0.6)
-    assert len(fleet.ended) == 3
+        fleet.advance(0.6)
+    assert len(fleet.crashes) == 3
     assert set(standings(fleet)) == {Standing.CONDEMNED}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_neighbours_go_on_elsewhere_and_none_is_condemned(seed):
-    """Six engines with some four streams each; each end takes its neighbours along."""
+def test_requests_on_a_crashed_engine_are_not_condemned(seed):
+    """Each crash also breaks the other streams on the engine."""
     fleet, rng = CrashingFleet(targets=6, boxes=2), random.Random(seed)
     bodies = [b"good%d" % index for index in range(160)]
     for index, body in enumerate(bodies):
         fleet.ask(body, f"box{rng.randrange(2) + 1}")
         if index % 12 == 6:
             fleet.ask(b"deadly", f"box{rng.randrange(2) + 1}")
-        fleet.play(0.02)
-    fleet.play(4.0)
+        fleet.advance(0.02)
+    fleet.advance(4.0)
     known = {row.digest for box in fleet.boxes.values() for row in box.ctx.suspicion.condemned()}
     assert known == {fleet.boxes["box1"].digest_of(b"deadly")}
-    assert len(fleet.ends_of(b"deadly")) <= 4
+    assert len(fleet.crash_times_of(b"deadly")) <= 4
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_two_deadly_requests_at_once_are_both_found(seed):
+def test_two_concurrent_deadly_requests_are_both_condemned(seed):
     fleet = CrashingFleet(targets=12, deadly=(b"deadly", b"fatal"), boxes=3)
     rng = random.Random(seed)
     for _ in range(20):
         for body in (b"deadly", b"fatal", b"good%d" % rng.randrange(1000)):
             fleet.ask(body, f"box{rng.randrange(3) + 1}")
-            fleet.play(0.05)
-        fleet.play(0.2)
+            fleet.advance(0.05)
+        fleet.advance(0.2)
     assert set(standings(fleet, b"deadly")) == set(standings(fleet, b"fatal"))
     for body in (b"deadly", b"fatal"):
-        third_s = fleet.ends_of(body)[2]
+        third_s = fleet.crash_times_of(body)[2]
         assert fleet.sent_after(body, third_s + 3.0) <= 3
 
 
-def test_a_suspect_that_is_innocent_is_served_alone_and_cleared():
+def test_an_innocent_suspect_runs_alone_and_is_cleared():
     fleet = CrashingFleet(targets=6, max_targets=4)
     fleet.ask(b"innocent")
     for _ in range(2):
-        fleet.play(0.05)
-        fleet.end(next(engine for engine in fleet.engines.values() if engine.runs))
-        fleet.play(0.02)
+        fleet.advance(0.05)
+        fleet.crash(next(engine for engine in fleet.engines.values() if engine.runs))
+        fleet.advance(0.02)
     assert standings(fleet, b"innocent") == [Standing.ALONE]
     fleet.ask(b"other")
-    fleet.play(0.1)
+    fleet.advance(0.1)
     assert {len(engine.runs) for engine in fleet.engines.values()} == {0, 1}
-    fleet.play(3.0)
+    fleet.advance(3.0)
     assert standings(fleet, b"innocent") == [Standing.CLEAR]
     assert fleet.boxes["box1"].outcomes == [Completed(), Completed()]
 
 
-def test_connections_that_are_reset_are_no_ends_of_engines():
+def test_connection_resets_do_not_count_as_crashes():
     fleet = CrashingFleet(targets=6, deadly=())
     for _ in range(6):
         fleet.ask(b"same")
-        fleet.play(0.05)
+        fleet.advance(0.05)
         for side in fleet.net.opened:
             if not side.closed:
-                side.break_off()
-        fleet.play(2.0)
+                side.disconnect()
+        fleet.advance(2.0)
     assert standings(fleet, b"same") == [Standing.CLEAR]
     fleet.ask(b"same")
-    fleet.play(1.0)
+    fleet.advance(1.0)
     assert fleet.boxes["box1"].outcomes[-1] == Completed()
 
 
-def test_an_operator_can_lift_it_and_one_end_more_condemns_it_anew():
+def test_an_operator_can_lift_a_condemnation():
     fleet = CrashingFleet(boxes=2)
     condemn(fleet)
     (row,) = fleet.boxes["box1"].ctx.suspicion.condemned()
     assert (row.route, row.organisation) == ("r", "org")
     assert len(row.starts) == 3
-    fleet.play(AWAY_S)
+    fleet.advance(RESTART_DELAY_S)
     assert fleet.boxes["box1"].ctx.suspicion.lift(row.digest)
-    fleet.play(0.1)
+    fleet.advance(0.1)
     assert set(standings(fleet)) == {Standing.CLEAR}
     fleet.deadly.clear()
     caller = fleet.ask(b"deadly", "box2")
-    fleet.play(1.0)
+    fleet.advance(1.0)
     assert caller.status == 200
 
 
-def test_without_suspects_no_digest_is_made():
+def test_no_digest_is_computed_without_suspects():
     fleet = CrashingFleet(deadly=())
     fleet.ask(b"good")
-    fleet.play(1.0)
+    fleet.advance(1.0)
     (task,) = fleet.boxes["box1"].tasks
     assert "_digest" not in vars(task)
 
 
-def test_a_placement_that_its_asker_never_heard_of_does_not_hold_a_suspect_for_long():
+def test_an_orphaned_placement_blocks_a_suspect_only_briefly():
     fleet = CrashingFleet(targets=6, deadly=(), boxes=2)
     box = fleet.boxes["box2"]
     digest = box.digest_of(b"same")
@@ -197,38 +197,38 @@
     plan = WorkPlan("gone_1", ("t3",), digest=digest, alone=True)
     box.view.note_placed(plan, fleet.net.seconds())
     assert fleet.ask(b"same", "box2").got == b""
-    fleet.play(0.3)
+    fleet.advance(0.3)
     assert box.outcomes[-1].reason.startswith("another run of it")
-    fleet.play(5.0)
+    fleet.advance(5.0)
     caller = fleet.ask(b"same", "box2")
-    fleet.play(1.0)
+    fleet.advance(1.0)
     assert caller.status == 200
 
 
-def lose_plain(world, ends):
-    """Have a plain request lost with a target; return the target's port."""
+def lose_plain_request(world, crashes):
+    """Break a plain request's connection, optionally crash its target; return the port."""
     caller = world.caller()
     caller.ask(b"same")
     side = world.attempt()
-    side.break_off()
-    if ends:
+    side.disconnect()
+    if crashes:
         world.net.refusing.add(side.place[1])
     return side.place[1]
 
 
-def test_plain_targets_give_no_reports_so_each_is_asked_for_a_connection():
+def test_a_crash_of_a_plain_target_is_detected_by_connecting():
     world = World(targets=4)
-    lost = {lose_plain(world, ends=True) for _ in range(3)}
+    lost = {lose_plain_request(world, crashes=True) for _ in range(3)}
     assert len(lost) == 3
     assert world.ctx.suspicion.standing(world.digest_of(b"same")) is Standing.HELD
     world.run(1.5)
     assert world.ctx.suspicion.standing(world.digest_of(b"same")) is Standing.CONDEMNED
 
 
-def test_a_plain_target_that_loses_answers_and_lives_has_not_ended():
+def test_a_plain_target_that_drops_connections_but_accepts_new_ones_has_not_crashed():
     world = World(targets=4)
     for _ in range(3):
-        lose_plain(world, ends=False)
+        lose_plain_request(world, crashes=False)
     world.run(1.5)
     assert world.ctx.suspicion.standing(world.digest_of(b"same")) is Standing.CLEAR
     caller = world.caller()
@@ -237,7 +237,7 @@
     assert caller.status == 200
 
 
-def test_a_helping_engine_that_ends_counts_for_the_request_that_it_helped():
+def test_a_helper_crash_counts_against_the_request_it_helped():
     world = long_world()
     reports = {name: TargetReport(0, 0, 0, 232_000, 1.0, (), 7) for name in world.targets.entries}
     for name, report in reports.items():
--- a/gladedrum/forward/tests/test_dead_run.py
+++ b/gladedrum/forward/tests/test_dead_run.py
@@ -1,9 +1,7 @@
-"""A run that has ended unseen: its engine is well, and does not hold the request any more.
+"""A request that its engine no longer holds, though the engine is healthy (its answer was lost).
 
-Seen: of five prompts of 200,000 to 600,000 tokens whose answers were lost on the way, three were
-asked for again only after 0.7 of their callers' patience, 11.4 s, and ended late or not at all. The
-engines had said all the while that they held next to nothing; but a box that decides for nobody
-gets no reports, and nobody compared them with what should be there.
+Guards against waiting for such a request up to most of the caller's deadline. Boxes that receive no
+reports must request them and compare the engine's memory use with what the request needs.
 """
 
 import json
@@ -23,7 +21,7 @@
     )  # fmt: skip
 
 
-def ask_long(world):
+def send_long_prompt(world):
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: 15000\r\n" % wire.DEADLINE_MS + LONG)
     return caller, requests(world)[0]
@@ -35,7 +33,7 @@
 
 
 def reply_to_reports(world, used, running=1):
-    """Answer what was asked for reports; return how many there were."""
+    """Answer pending report requests; return how many there were."""
     body = {"waiting": 0, "running": running, "kvUsed": used, "kvTotal": 232_000, "pace": 1.0}
     answered = 0
     for side in world.net.opened:
@@ -55,9 +53,9 @@
     return asked
 
 
-def test_a_long_prompt_that_its_engine_does_not_hold_is_asked_for_elsewhere_soon():
+def test_a_long_prompt_that_its_engine_lost_is_soon_sent_elsewhere():
     world = long_world()
-    caller, lead = ask_long(world)
+    caller, lead = send_long_prompt(world)
     wait(world, 4.5, used=2_000)
     sent = requests(world)
     assert len(sent) == 2
@@ -66,16 +64,16 @@
     assert lead.closed
 
 
-def test_one_that_its_engine_holds_is_waited_for():
+def test_a_long_prompt_that_its_engine_holds_is_waited_for():
     world = long_world()
-    caller, lead = ask_long(world)
+    caller, lead = send_long_prompt(world)
     wait(world, 6.0, used=150_000)
     assert len(requests(world)) == 1
     lead.reply(stream_head() + chunk(event(1)) + chunk(b""))
     assert caller.got.endswith(b"0\r\n\r\n")
 
 
-def test_an_engine_with_nothing_to_do_runs_no_short_prompt_either():
+def test_a_short_prompt_lost_by_an_idle_engine_is_sent_elsewhere():
     world = World(
         targets=3, engine=EngineTraits(), streaming=True, resumable=True, max_targets=2,
         objective_s=0.3, pause_objective_s=0.2,
@@ -85,9 +83,9 @@
     assert len(requests(world)) == 2
 
 
-def test_a_begun_answer_goes_on_elsewhere_too():
+def test_a_started_answer_lost_by_its_engine_is_resumed_elsewhere():
     world = long_world()
-    _caller, lead = ask_long(world)
+    _caller, lead = send_long_prompt(world)
     lead.reply(stream_head() + chunk(event(1)))
     wait(world, 4.5, used=2_000)
     sent = requests(world)
@@ -95,9 +93,9 @@
     assert b"ast-event-id: 1" in sent[1].sent.lower()
 
 
-def test_nothing_is_asked_while_the_answer_comes():
+def test_no_reports_are_requested_while_events_arrive():
     world = long_world()
-    _caller, lead = ask_long(world)
+    _caller, lead = send_long_prompt(world)
     wait(world, 1.5, used=150_000)
     lead.reply(stream_head() + chunk(event(1)))
     asked = 0
@@ -107,9 +105,9 @@
     assert asked == 0
 
 
-def test_a_box_that_hears_reports_asks_for_none():
+def test_a_box_that_receives_reports_requests_none():
     world = long_world()
-    _caller, lead = ask_long(world)
+    _caller, lead = send_long_prompt(world)
     name = f"t{lead.place[1] - 9000}"
     for _ in range(60):
         report = TargetReport(0, 1, 150_000, 232_000, 1.0, ())
@@ -118,9 +116,9 @@
     assert not [s for s in world.net.opened if s.sent.startswith(b"GET")]
 
 
-def test_what_a_box_hears_serves_as_well():
+def test_received_reports_reveal_a_lost_run():
     world = long_world()
-    _caller, lead = ask_long(world)
+    _caller, lead = send_long_prompt(world)
     name = f"t{lead.place[1] - 9000}"
     for _ in range(50):
         report = TargetReport(0, 1, 2_000, 232_000, 1.0, ())
--- a/gladedrum/forward/tests/test_drain.py
+++ b/gladedrum/forward/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no answer."""
+"""A planned stop of a box must not cut off answers."""
 
 import pytest
 
@@ -9,6 +9,7 @@
 
 
 def stop(world: World):
+    """Start to drain the box; return a list that gets an entry when draining has finished."""
     ended = []
     world.accepting = True
     draining = drain_callers(
@@ -18,12 +19,14 @@
     return ended
 
 
-def test_the_last_bytes_of_an_answer_are_written_before_the_process_ends():
-    """Found by a hunt: the process ended when the last request had, with its bytes unsent."""
+def test_the_process_waits_until_the_last_bytes_are_written():
+    """Guards against ending the process while bytes of the last answer are unsent."""
     world = World(time_limit_s=30.0)
     caller = world.caller()
     unsent = []
-    caller.wire.loseConnection = lambda: unsent.append(1)  # closes only once all is written
+    caller.wire.loseConnection = lambda: unsent.append(
+        1
+    )  # a real one closes only once all is written
     caller.ask(b"body")
     ended = stop(world)
     world.run(4.0)
@@ -31,12 +34,12 @@
     world.run(0.5)
     assert unsent
     assert not ended
-    caller.leave()
+    caller.disconnect()
     world.run(0.1)
     assert ended
 
 
-def test_a_kept_connection_is_told_to_close_with_its_next_answer():
+def test_a_kept_connection_closes_with_its_next_answer():
     world = World()
     caller = world.caller()
     ended = stop(world)
@@ -48,7 +51,7 @@
     assert ended
 
 
-def test_idle_connections_are_closed_once_the_balancer_has_turned_away():
+def test_idle_connections_close_after_the_load_balancer_grace_period():
     world = World()
     caller = world.caller()
     stop(world)
@@ -58,8 +61,8 @@
     assert caller.wire.closed
 
 
-def test_no_request_is_taken_that_might_not_be_answered_before_the_end():
-    """Found by a hunt: a request taken 4.9 s after the signal was cut 7.4 s after it."""
+def test_requests_that_could_not_finish_in_time_are_not_accepted():
+    """Guards against accepting a request so late that the end of the process cuts it off."""
     world = World(time_limit_s=30.0)
     world.caller().ask(b"body")
     stop(world)
@@ -69,7 +72,7 @@
     assert not world.accepting
 
 
-def test_a_stop_ends_before_the_process_would_be_killed():
+def test_drain_finishes_before_the_process_would_be_killed():
     world = World(time_limit_s=30.0)
     world.caller().ask(b"body")
     ended = stop(world)
@@ -77,7 +80,7 @@
     assert ended
 
 
-def test_a_connection_carries_one_request_where_callers_are_not_kept():
+def test_a_connection_carries_one_request_without_keep_alive():
     world = World()
     world.factory.keep = False
     caller = world.caller()
@@ -88,8 +91,8 @@
 
 
 @pytest.mark.parametrize("cut", [30, -2], ids=["within the head", "within the body"])
-def test_a_request_that_is_half_read_when_idle_connections_are_closed_is_served(cut):
-    """The rest of such a request was thrown away, and its caller heard nothing."""
+def test_a_partly_read_request_is_served_when_idle_connections_close(cut):
+    """Guards against discarding the rest of the request without an answer."""
     world = World(time_limit_s=30.0)
     caller = world.caller()
     stop(world)
--- a/gladedrum/forward/tests/test_grey_target.py
+++ b/gladedrum/forward/tests/test_grey_target.py
@@ -1,8 +1,6 @@
-"""Grey failure: a plain target that takes requests and does not answer some of them.
+"""Grey failure: a plain target that accepts requests but does not answer some of them.
 
-Seen: of three targets of a service one hung for part of its requests, and another for all of them
-while it said that it was well; in six seconds 16 requests that may run only once were sent to them
-and ended after 1.2 s without an answer, and nobody thought the worse of either target.
+Guards against sending further requests to such a target before the first ones time out.
 """
 
 import pytest
@@ -21,7 +19,7 @@
 
 
 def serve(world, hanging, requests=30, pause_s=0.1):
-    """Send requests in turn; return how many went to targets that hang for all."""
+    """Send requests in turn; return how many went to the hanging targets."""
     hung = 0
     for _ in range(requests):
         world.caller().ask(b"body")
@@ -35,17 +33,17 @@
     return hung
 
 
-def test_a_target_that_hangs_is_left_before_its_first_request_times_out():
+def test_a_hanging_target_is_avoided_before_its_first_request_times_out():
     world = plain_world()
     assert serve(world, {"t1"}, requests=60) <= 3
 
 
-def test_two_of_three_that_hang_are_left_too():
+def test_two_hanging_targets_of_three_are_avoided():
     world = plain_world()
     assert serve(world, {"t1", "t2"}, requests=30) <= 4
 
 
-def test_a_request_that_is_overdue_is_not_given_up():
+def test_an_overdue_request_is_not_abandoned():
     world = plain_world()
     caller = world.caller()
     caller.ask(b"body")
@@ -56,7 +54,7 @@
     assert caller.status == 200
 
 
-def test_a_target_that_answers_in_time_is_trusted():
+def test_a_target_that_answers_in_time_is_not_distrusted():
     world = plain_world()
     serve(world, (), requests=9)
     now_s = world.net.seconds()
@@ -64,7 +62,7 @@
 
 
 @pytest.mark.parametrize("took_s", [0.25, 0.6, 1.0])
-def test_a_late_answer_makes_a_target_trusted_again(took_s):
+def test_a_late_answer_reduces_distrust(took_s):
     world = plain_world()
     world.caller().ask(b"body")
     side = world.attempt()
@@ -75,7 +73,7 @@
     assert 0 < world.view.state(name_of(side)).distrust_at(now_s) < overdue
 
 
-def test_peers_are_told_that_a_request_is_overdue():
+def test_peers_learn_of_an_overdue_request():
     world = plain_world()
     told = []
     world.ctx.port.tell_work = told.append
@@ -89,7 +87,7 @@
     assert peer.view.state(name_of(side)).ledger.rows
 
 
-def test_streams_are_judged_by_their_engines_reports_instead():
+def test_an_overdue_stream_does_not_cause_distrust():
     world = plain_world(streaming=True, resumable=True, max_targets=2)
     world.caller().ask(b"body")
     side = world.attempt()
--- a/gladedrum/forward/tests/test_hedging.py
+++ b/gladedrum/forward/tests/test_hedging.py
@@ -1,13 +1,7 @@
-"""A target that falls silent: its answer is given up only for one that has begun elsewhere.
-
-Seen: with nothing but planned work under way, begun streams were cut, on boxes that were stopping
-and on others. How it came about: a prompt of 656,000 tokens was read on 16 of 18 engines for 2.5 s,
-and the streams on them paused for as long; after 1.4 s of it thirty streams of seven boxes gave up
-their engines, all of which answered their reports. Cause: the live answer was closed before a
-place, a repeat and a connection for its substitute were there, so where one was missing the caller
-was cut off. What proved it: two streams on the stopping box ended with "the repeats that may be
-sent are used up" 10 ms after their engine's connection was closed; the tests below do so without
-any stop.
+"""Hedging of a silent target: the *lead* keeps the request until its *hedge* makes progress.
+
+Guards against closing a live connection before a substitute is ready: if placement, retry budget or
+connection then fails, the caller is cut off.
 """
 
 import pytest
@@ -35,12 +29,12 @@
     return World(**{**fields, **route})
 
 
-def allow_no_repeats(world):
+def exhaust_retry_budget(world):
     world.repeats.set_bound(0.0, 0.0, 1.0)
 
 
 def wait_with_reports(world, seconds):
-    """Let time pass while all engines answer their reports, and hold what they were sent."""
+    """Advance the clock while all engines send reports and hold the requests they were sent."""
     for _ in range(round(seconds / 0.1)):
         for name in world.targets.entries:
             held = int(world.view.state(name).ledger.tokens)
@@ -49,8 +43,8 @@
         world.run(0.1)
 
 
-def begin_streams(world, count):
-    """Return callers and the targets that have begun their streams."""
+def start_streams(world, count):
+    """Start streams; return their callers and the targets' ends, each with one event sent."""
     callers = [world.caller() for _ in range(count)]
     for caller in callers:
         caller.ask(b"body", extra=SHORT)
@@ -61,10 +55,10 @@
     return callers, targets
 
 
-def test_a_begun_stream_without_a_repeat_is_not_cut_while_its_target_lives():
+def test_a_stream_that_cannot_be_retried_is_kept_while_its_target_lives():
     world = streaming_world()
-    allow_no_repeats(world)
-    (caller,), (target,) = begin_streams(world, 1)
+    exhaust_retry_budget(world)
+    (caller,), (target,) = start_streams(world, 1)
     wait_with_reports(world, 1.8)
     assert not caller.wire.closed
     target.reply(chunk(event(2)) + chunk(b""))
@@ -72,9 +66,9 @@
     assert world.outcomes == [Completed()]
 
 
-def test_streams_that_pause_all_at_once_are_not_cut_and_their_targets_stay_trusted():
+def test_streams_that_pause_together_are_kept_and_cause_no_distrust():
     world = streaming_world()
-    callers, targets = begin_streams(world, 9)
+    callers, targets = start_streams(world, 9)
     world.repeats.set_bound(0.0, 6.0, 1.0)
     world.net.connect_delay_s = 5.0
     wait_with_reports(world, 1.8)
@@ -87,9 +81,9 @@
     assert all(world.view.state(name).distrust_at(now_s) == 0 for name in world.targets.entries)
 
 
-def test_a_plain_answer_that_comes_late_is_delivered_if_it_could_not_be_asked_for_again():
+def test_a_late_plain_answer_is_delivered_if_no_retry_was_possible():
     world = World(repeatable=True, max_targets=2, time_limit_s=4.0)
-    allow_no_repeats(world)
+    exhaust_retry_budget(world)
     caller = world.caller()
     caller.ask()
     target = world.attempt()
@@ -100,9 +94,9 @@
 
 
 def hedged_stream(world=None):
-    """Return a world whose stream was silent until it was hedged, with caller, lead and hedge."""
+    """Return a world with a stream that was hedged after a silence; its caller, lead and hedge."""
     world = world or streaming_world()
-    (caller,), (lead,) = begin_streams(world, 1)
+    (caller,), (lead,) = start_streams(world, 1)
     wait_with_reports(world, 1.5)
     _lead, hedge = world.net.opened
     assert b"%s: 1\r\n" % wire.LAST_EVENT_ID in hedge.sent
@@ -115,11 +109,11 @@
     return [name for name in world.targets.entries if world.view.state(name).distrust_at(now_s)]
 
 
-def work_left(world):
+def placed_work(world):
     return sum(len(world.view.state(name).ledger.rows) for name in world.targets.entries)
 
 
-def test_the_hedge_that_goes_on_first_takes_the_stream_over():
+def test_a_hedge_that_continues_first_takes_over_the_stream():
     world, caller, lead, hedge = hedged_stream()
     hedge.reply(stream_head(seal=b"seal-2") + chunk(event(2)))
     assert lead.closed == "aborted"
@@ -128,10 +122,10 @@
     assert caller.got.count(b"data: e") == 3
     assert b"seal-2" not in caller.got
     assert world.outcomes == [Completed()]
-    assert work_left(world) == 0
+    assert placed_work(world) == 0
 
 
-def test_the_lead_that_goes_on_first_ends_its_hedge():
+def test_a_lead_that_continues_first_cancels_its_hedge():
     world, caller, lead, hedge = hedged_stream()
     lead.reply(chunk(event(2)))
     assert hedge.closed == "aborted"
@@ -139,10 +133,10 @@
     assert caller.got.count(b"data: e") == 3
     assert world.outcomes == [Completed()]
     assert distrusted(world) == []
-    assert work_left(world) == 0
+    assert placed_work(world) == 0
 
 
-def test_events_that_the_caller_has_do_not_count_as_going_on():
+def test_repeated_events_do_not_count_as_progress():
     _world, caller, lead, hedge = hedged_stream()
     hedge.reply(stream_head() + chunk(event(1)))
     assert not lead.closed
@@ -151,8 +145,8 @@
     assert caller.got.count(b"data: e") == 2
 
 
-def test_a_hedge_that_is_refused_or_breaks_leaves_the_lead_alone():
-    for fail in (lambda hedge: hedge.reply(not_run()), lambda hedge: hedge.break_off()):
+def test_a_refused_or_broken_hedge_does_not_affect_the_lead():
+    for fail in (lambda hedge: hedge.reply(not_run()), lambda hedge: hedge.disconnect()):
         _world, caller, lead, hedge = hedged_stream()
         fail(hedge)
         assert not lead.closed
@@ -160,30 +154,30 @@
         assert caller.got.endswith(b"0\r\n\r\n")
 
 
-def test_a_lead_that_breaks_leaves_the_stream_to_its_hedge_without_a_further_repeat():
+def test_a_running_hedge_replaces_a_broken_lead_without_another_retry():
     world, caller, lead, hedge = hedged_stream()
-    allow_no_repeats(world)
-    lead.break_off()
+    exhaust_retry_budget(world)
+    lead.disconnect()
     hedge.reply(stream_head() + chunk(event(2)) + chunk(b""))
     assert caller.got.endswith(b"0\r\n\r\n")
     assert len(world.net.opened) == 2
 
 
-def test_a_lead_that_breaks_while_its_hedge_is_prepared_is_replaced_by_that():
+def test_a_hedge_in_preparation_replaces_a_broken_lead():
     world = streaming_world()
     prepared = []
     take = world.ctx.repeats.take
 
-    async def take_slowly(service):
+    async def delayed_take(service):
         await sleep(world.net, 0.5)
         prepared.append(service)
         return await take(service)
 
-    world.ctx.repeats.take = take_slowly
-    (caller,), (lead,) = begin_streams(world, 1)
+    world.ctx.repeats.take = delayed_take
+    (caller,), (lead,) = start_streams(world, 1)
     wait_with_reports(world, 1.5)
     assert not prepared
-    lead.break_off()
+    lead.disconnect()
     world.run(0.6)
     assert len(prepared) == 1
     world.attempt().reply(stream_head() + chunk(event(2)) + chunk(b""))
@@ -191,40 +185,40 @@
     assert len(world.net.opened) == 2
 
 
-def test_a_lead_that_goes_on_while_its_hedge_is_prepared_gets_none():
+def test_a_hedge_in_preparation_is_dropped_when_the_lead_continues():
     world = streaming_world()
 
-    async def take_slowly(_service):
+    async def delayed_take(_service):
         await sleep(world.net, 0.5)
         return True
 
-    world.ctx.repeats.take = take_slowly
-    (_caller,), (lead,) = begin_streams(world, 1)
+    world.ctx.repeats.take = delayed_take
+    (_caller,), (lead,) = start_streams(world, 1)
     wait_with_reports(world, 1.5)
     lead.reply(chunk(event(2)))
     world.run(0.6)
     assert len(world.net.opened) == 1
     lead.reply(chunk(b""))
-    assert work_left(world) == 0
+    assert placed_work(world) == 0
 
 
-def test_a_caller_that_leaves_ends_lead_and_hedge():
+def test_a_disconnecting_caller_cancels_lead_and_hedge():
     world, caller, lead, hedge = hedged_stream()
-    caller.leave()
+    caller.disconnect()
     assert (lead.closed, hedge.closed) == ("aborted", "aborted")
-    assert work_left(world) == 0
+    assert placed_work(world) == 0
     assert isinstance(world.outcomes[0], Unknown)
 
 
-def test_time_that_is_up_ends_lead_and_hedge():
+def test_the_time_limit_cancels_lead_and_hedge():
     world, caller, lead, hedge = hedged_stream(streaming_world(time_limit_s=1.8))
     world.run(0.4)
     assert caller.wire.closed == "aborted"
     assert (lead.closed, hedge.closed) == ("aborted", "aborted")
-    assert work_left(world) == 0
+    assert placed_work(world) == 0
 
 
-def test_a_stream_is_not_hedged_on_more_targets_than_may_run_it():
+def test_a_stream_is_not_hedged_beyond_max_targets():
     world, _caller, lead, _hedge = hedged_stream()
     wait_with_reports(world, 0.6)
     assert len(world.net.opened) == 2
@@ -235,10 +229,10 @@
     assert world.outcomes == [Completed()]
 
 
-def test_a_silence_that_all_engines_share_is_waited_out():
-    """Retry storm: thirty streams that paused together were moved onto engines that paused too."""
+def test_a_pause_shared_by_all_engines_is_not_hedged():
+    """Guards against a retry storm: hedges would go to engines that are paused as well."""
     world = streaming_world(engine=EngineTraits(memory_tokens=10_000_000))
-    _callers, targets = begin_streams(world, 9)
+    _callers, targets = start_streams(world, 9)
     names = tuple(world.targets.entries)
     world.view.note_placed(WorkPlan("long", names, 250_000, 100), world.net.seconds())
     wait_with_reports(world, 1.6)
@@ -250,9 +244,9 @@
     assert distrusted(world) == []
 
 
-def test_a_caller_that_takes_its_answer_slowly_does_not_count_as_a_silent_target():
+def test_a_slow_caller_does_not_count_as_a_silent_target():
     world = streaming_world()
-    (caller,), (_lead,) = begin_streams(world, 1)
+    (caller,), (_lead,) = start_streams(world, 1)
     caller.proto.pauseProducing()
     wait_with_reports(world, 1.8)
     assert len(world.net.opened) == 1
@@ -263,7 +257,7 @@
     assert len(world.net.opened) == 2
 
 
-def test_a_plain_answer_is_taken_from_whichever_target_is_whole_first():
+def test_the_first_complete_plain_answer_is_used():
     for first in (0, 1):
         world = World(repeatable=True, max_targets=2, time_limit_s=4.0)
         caller = world.caller()
@@ -276,7 +270,7 @@
         assert world.outcomes == [Completed()]
 
 
-def test_a_failure_of_one_try_is_not_passed_on_while_another_is_under_way():
+def test_a_failed_attempt_is_not_reported_while_another_runs():
     world = World(repeatable=True, max_targets=2, time_limit_s=4.0)
     caller = world.caller()
     caller.ask()
@@ -289,7 +283,7 @@
 
 
 @pytest.mark.parametrize(("writers", "hedges"), [(0, 1), (7, 0)])
-def test_a_stream_is_not_hedged_where_that_costs_others_more_than_it_keeps(writers, hedges):
+def test_a_stream_is_not_hedged_where_that_delays_other_streams_more(writers, hedges):
     world = streaming_world(targets=2, engine=EngineTraits(), objective_s=1.0, time_limit_s=8.0)
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
--- a/gladedrum/forward/tests/test_hostile.py
+++ b/gladedrum/forward/tests/test_hostile.py
@@ -1,4 +1,4 @@
-"""Whatever callers, targets and peers send: a request's own answer, an error, or a close."""
+"""Malformed input from callers, targets and peers: a valid answer, an error, or a close."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.sampled_from(_PIECES), max_size=14), st.integers(1, 4))
-def test_a_callers_bytes_never_crash_a_box_or_reach_a_target_as_they_are(pieces, step):
+def test_arbitrary_caller_bytes_never_crash_a_box_or_reach_a_target_unparsed(pieces, step):
     world = World()
     caller = world.caller()
     data = b"".join(pieces)
@@ -72,7 +72,7 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=300), st.booleans(), st.booleans())
-def test_a_targets_bytes_never_reach_a_caller_as_a_success(data, whole_first, orderly):
+def test_arbitrary_target_bytes_never_reach_a_caller_as_a_success(data, whole_first, orderly):
     world = World()
     caller = world.caller()
     caller.ask(b"body")
@@ -82,7 +82,7 @@
     if not target.closed:
         target.reply(data)
     if not target.closed:
-        target.break_off(orderly)
+        target.disconnect(orderly)
     world.run(0.5)
     if whole_first:
         assert caller.got.endswith(b"fine")
@@ -92,13 +92,13 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
-def test_a_datagram_is_understood_or_dropped(data):
+def test_an_arbitrary_datagram_is_decoded_or_dropped(data):
     told = gossip.decode(data)
     if told is not None:
         FleetView().take(told, ["t1"], 0.0)
 
 
-def test_a_datagram_keeps_its_notes():
+def test_a_datagram_round_trip_keeps_its_notes():
     plan = WorkPlan("w1", ("t1", "t2"), 60_000, 700, 7.0, 1.5, 0.6, reserved=True)
     note = note_of(plan, gossip.PLACED)
     told = gossip.decode(gossip.encode(Gossip("b", [note], [ReportNote("t1", False)], True)))
@@ -106,7 +106,7 @@
     assert (told.box, told.leaving, told.reports[0].answered) == ("b", True, False)
 
 
-def test_datagrams_that_are_lost_or_come_twice_leave_no_work_behind():
+def test_lost_or_duplicate_datagrams_leave_no_work_behind():
     rng = random.Random(7)
     view = FleetView()
     plans = [WorkPlan(f"w{i}", ("t1", "t2"), 40_000, 500) for i in range(30)]
--- a/gladedrum/forward/tests/test_joined_review.py
+++ b/gladedrum/forward/tests/test_joined_review.py
@@ -1,19 +1,19 @@
-"""What a review of the joined changes found, each as it shows at a caller, a target or a peer."""
+"""Failures while a hedge is prepared: its retry and its placement must be given back."""
 
 import pytest
 
 from gladedrum.forward.tests.support import chunk, event
 from gladedrum.forward.tests.test_hedging import (
-    begin_streams,
+    placed_work,
+    start_streams,
     streaming_world,
     wait_with_reports,
-    work_left,
 )
 from gladedrum.forward.tries import TryMaker
 
 
 def fail_once(monkeypatch, owner, name):
-    """Let a call fail with a fault once."""
+    """Patch a method so that its first call raises an exception."""
     real = getattr(owner, name)
     left = [1]
 
@@ -26,9 +26,9 @@
     monkeypatch.setattr(owner, name, failing)
 
 
-def test_a_search_that_fails_gives_its_repeat_back(monkeypatch):
+def test_a_failed_hedge_placement_refunds_its_retry(monkeypatch):
     world = streaming_world(time_limit_s=8.0)
-    _callers, (lead,) = begin_streams(world, 1)
+    _callers, (lead,) = start_streams(world, 1)
     world.repeats.set_bound(0.0, 6.0, 1e9)
     before = world.repeats.left("s", world.net.seconds())
     fail_once(monkeypatch, world.ctx.placer, "place")
@@ -38,10 +38,10 @@
     assert world.repeats.left("s", world.net.seconds()) == pytest.approx(before)
 
 
-def test_a_search_that_fails_keeps_no_place(monkeypatch):
+def test_a_failed_hedge_preparation_releases_its_placement(monkeypatch):
     world = streaming_world(time_limit_s=8.0)
-    begin_streams(world, 1)
+    start_streams(world, 1)
     fail_once(monkeypatch, TryMaker, "_get_memory")
     wait_with_reports(world, 1.45)
     assert len(world.net.opened) == 1
-    assert work_left(world) == 1
+    assert placed_work(world) == 1
--- a/gladedrum/forward/tests/test_layers.py
+++ b/gladedrum/forward/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""The rooms of a forwarding box import each other one way only."""
+"""Packages of the forwarding box import each other in one direction only."""
 
 import ast
 from pathlib import Path
@@ -17,11 +17,11 @@
     "scheduling": set(),
     "forward": {"gossip", "connections", "beliefs", "placing", "scheduling"},
 }
-"""Which of these rooms each may import, beside what is under all of them."""
+"""Which of these packages each may import; common base packages are not listed."""
 
 
-def imported_rooms(path: Path) -> set[str]:
-    """Return the packages of the product that a module imports."""
+def imported_packages(path: Path) -> set[str]:
+    """Return the top-level gladedrum packages that a module imports."""
     depth = len(path.relative_to(ROOT).parts)
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -31,10 +31,10 @@
     return found
 
 
-@pytest.mark.parametrize("room", MAY_IMPORT)
-def test_a_room_imports_only_those_below_it(room):
-    modules = [p for p in (ROOT / room).rglob("*.py") if not {"tests", "wire"} & set(p.parts)]
+@pytest.mark.parametrize("package", MAY_IMPORT)
+def test_a_package_imports_only_lower_packages(package):
+    modules = [p for p in (ROOT / package).rglob("*.py") if not {"tests", "wire"} & set(p.parts)]
     assert modules
-    above = (set(MAY_IMPORT) | {"daemon", "entry", "ctl"}) - MAY_IMPORT[room] - {room}
+    above = (set(MAY_IMPORT) | {"daemon", "entry", "ctl"}) - MAY_IMPORT[package] - {package}
     for path in modules:
-        assert not imported_rooms(path) & above, path
+        assert not imported_packages(path) & above, path
--- a/gladedrum/forward/tests/test_life.py
+++ b/gladedrum/forward/tests/test_life.py
@@ -1,4 +1,4 @@
-"""The life of a request against scripted callers and targets."""
+"""The life of a request, from a scripted caller through the box to scripted targets."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     return World(engine=engine or EngineTraits(), **{**fields, **route})
 
 
-def test_answer_goes_back_unchanged_and_the_key_does_not_go_on():
+def test_answer_is_returned_unchanged_and_the_key_is_not_forwarded():
     world = World()
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: forged\r\nX-Other: 1\r\n" % wire.ORGANISATION)
@@ -46,14 +46,14 @@
     world = World()
     caller = world.caller()
     caller.ask(b"body")
-    world.attempt().break_off()
+    world.attempt().disconnect()
     world.run(1)
     assert len(world.net.opened) == 1
     assert caller.status == 502
 
 
 @pytest.mark.parametrize("status", [503, 429, 421, 400])
-def test_unrepeatable_request_goes_on_when_a_target_vouches_that_it_did_not_run(status):
+def test_unrepeatable_request_is_retried_when_a_target_states_that_it_did_not_run(status):
     world = World()
     caller = world.caller()
     caller.ask(b"body")
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("status", [503, 429, 408])
-def test_promise_of_not_run_is_not_passed_on_for_what_a_target_may_have_run(status):
+def test_not_run_is_not_claimed_for_what_a_target_may_have_run(status):
     world = World()
     caller = world.caller()
     caller.ask(b"body")
@@ -73,7 +73,7 @@
     assert caller.status == 502
 
 
-def test_repeatable_request_goes_elsewhere_after_a_failure_and_passes_on_the_last():
+def test_repeatable_request_is_retried_elsewhere_and_returns_the_last_failure():
     world = World(repeatable=True, max_targets=2)
     caller = world.caller()
     caller.ask()
@@ -86,11 +86,11 @@
     assert len(world.net.opened) == 2
 
 
-def test_refusal_after_a_lost_try_does_not_claim_that_nothing_ran():
+def test_refusal_after_a_lost_attempt_does_not_claim_that_nothing_ran():
     world = World(targets=2, repeatable=True, max_targets=2)
     caller = world.caller()
     caller.ask()
-    world.attempt().break_off()
+    world.attempt().disconnect()
     world.run(0.1)
     world.net.refusing = {9001, 9002}
     for _ in range(10):
@@ -101,7 +101,7 @@
     assert caller.status == 502
 
 
-def test_refused_everywhere_says_not_run_and_when_to_come_back():
+def test_request_refused_everywhere_is_not_run_with_retry_after():
     world = World(targets=2)
     world.net.refusing = {9001, 9002}
     caller = world.caller()
@@ -124,7 +124,7 @@
     assert target.closed
 
 
-def test_surplus_bytes_end_a_kept_connection():
+def test_surplus_bytes_close_a_kept_connection():
     world = World()
     caller = world.caller()
     caller.ask()
@@ -141,71 +141,71 @@
     "garbage",
     [b"NONSENSE\r\n\r\n", b"HTTP/1.1 abc\r\n\r\n", b"\0" * 200, b"HTTP/1.1 200 OK\r\nx\r\n"],
 )
-def test_bytes_that_are_no_answer_never_reach_the_caller(garbage):
+def test_invalid_answer_bytes_never_reach_the_caller(garbage):
     world = World()
     caller = world.caller()
     caller.ask(b"body")
     target = world.attempt()
     target.reply(garbage)
-    target.break_off()
+    target.disconnect()
     world.run(0.1)
     assert caller.status == 502
     assert garbage not in caller.got
 
 
-def test_torn_answer_is_not_passed_on_as_whole():
+def test_truncated_answer_is_not_relayed_as_complete():
     world = World()
     caller = world.caller()
     caller.ask(b"body")
     target = world.attempt()
     target.reply(answer(200, b"a long body")[:-3])
-    target.break_off(orderly=True)
+    target.disconnect(orderly=True)
     world.run()
     assert caller.status == 502
 
 
 @pytest.mark.parametrize(("orderly", "status"), [(True, 200), (False, 502)])
-def test_answer_without_a_length_is_whole_only_after_an_orderly_close(orderly, status):
+def test_answer_without_a_length_is_complete_only_after_an_orderly_close(orderly, status):
     world = World()
     caller = world.caller()
     caller.ask(b"body")
     target = world.attempt()
     target.reply(b"HTTP/1.1 200 OK\r\n%s: id-1\r\n\r\nsome" % wire.REQUEST_ID)
-    target.break_off(orderly)
+    target.disconnect(orderly)
     world.run()
     assert caller.status == status
 
 
-def test_caller_that_leaves_is_noticed_at_the_target():
+def test_caller_disconnect_aborts_the_target_connection():
     world = World()
     caller = world.caller()
     caller.ask(b"body")
     target = world.attempt()
-    caller.leave()
+    caller.disconnect()
     assert target.closed == "aborted"
     assert isinstance(world.outcomes[0], Unknown)
 
 
-def test_nothing_goes_to_a_target_for_a_caller_that_left_while_it_was_connected_to():
+def test_nothing_is_sent_if_the_caller_disconnects_during_connect():
     world = World()
     world.net.connect_delay_s = 0.3
     caller = world.caller()
     caller.ask(b"body")
-    caller.leave()
+    caller.disconnect()
     world.run(0.5)
     (target,) = world.net.opened
     assert not target.sent
     assert target.wire.closed
 
 
-def test_a_caller_that_leaves_while_it_waits_for_a_place_is_not_offered_any_more():
+def test_a_caller_that_disconnects_while_waiting_for_a_placement_is_not_sent():
     world = streaming_world()
     for name in world.targets.entries:
         plan = WorkPlan(f"full-{name}", (name,), 231_000, 1_000)
         world.view.note_placed(plan, world.net.seconds())
     caller = world.caller()
     caller.ask(extra=b"%s: 5000,100\r\n" % wire.TOKENS_IN_OUT)
-    caller.leave()
+    caller.disconnect()
     for name in world.targets.entries:
         world.view.state(name).ledger.rows.clear()
     world.run(1.0)
@@ -213,7 +213,7 @@
     assert all(not world.view.state(name).ledger.rows for name in world.targets.entries)
 
 
-def test_time_limit_gets_a_final_answer():
+def test_time_limit_returns_504():
     world = World(time_limit_s=1.0)
     caller = world.caller()
     caller.ask(b"body")
@@ -223,7 +223,7 @@
     assert target.closed == "aborted"
 
 
-def test_key_is_not_trusted_beyond_its_bound():
+def test_key_is_not_accepted_beyond_its_age_bound():
     world = World()
     caller = world.caller()
     world.net.advance(KEY_BOUND_S)
@@ -232,19 +232,19 @@
     assert not world.net.opened
 
 
-def test_key_is_checked_again_after_the_process_stood_still_before_sending():
+def test_key_is_checked_again_after_the_process_was_suspended_before_sending():
     world = World(time_limit_s=60.0)
     world.net.connect_delay_s = 0.5
     caller = world.caller()
     caller.ask(extra=b"")
-    # The process stands still while the connection comes up; its clock goes on.
+    # The process is suspended while the connection is set up; its clock goes on.
     world.net.rightNow += KEY_BOUND_S
     world.run(2)
     assert not any(target.sent for target in world.net.opened)
     assert caller.status in (503, 504)
 
 
-def test_last_known_key_works_on_while_the_store_is_away_if_keys_do_not_expire():
+def test_last_known_key_stays_valid_without_the_store_if_keys_do_not_expire():
     world = World(keys_expire=False)
     world.run(10 * KEY_BOUND_S, step_s=1.0)
     caller = world.caller()
@@ -257,7 +257,7 @@
 @pytest.mark.parametrize(
     "path, key, refused_for_good", [(b"/x/2f", b"k2", 401), (b"/y/2f", KEY.encode(), 404)]
 )
-def test_what_an_old_configuration_lacks_is_not_refused_for_good(
+def test_unknown_key_or_route_is_refused_as_temporary_with_a_stale_configuration(
     keys_expire, path, key, refused_for_good
 ):
     world = World(keys_expire=keys_expire)
@@ -272,7 +272,7 @@
     assert b"retry-after" in caller.got.lower()
 
 
-def test_leaving_target_gets_nothing_even_if_it_was_chosen_before():
+def test_leaving_target_gets_no_request_even_if_already_chosen():
     world = World(targets=1)
     world.net.connect_delay_s = 0.5
     caller = world.caller()
@@ -283,13 +283,13 @@
     assert caller.status == 503
 
 
-def test_stream_is_continued_at_its_event_inside_one_answer():
+def test_stream_is_resumed_at_its_last_event_within_one_answer():
     world = streaming_world()
     caller = world.caller()
     caller.ask(b"body")
     first = world.attempt()
     first.reply(stream_head() + chunk(event(1)) + chunk(event(2)) + chunk(b"id: 3\nda"))
-    first.break_off()
+    first.disconnect()
     world.run(0.1)
     second = world.attempt()
     assert second.place != first.place
@@ -303,32 +303,32 @@
     assert world.outcomes == [Completed()]
 
 
-def test_stream_that_cannot_be_resumed_is_broken_off_visibly():
+def test_stream_that_cannot_be_resumed_is_aborted_without_an_end_marker():
     world = streaming_world(resumable=False)
     caller = world.caller()
     caller.ask(b"body")
     target = world.attempt()
     target.reply(stream_head() + chunk(event(1)))
-    target.break_off()
+    target.disconnect()
     world.run(0.2)
     assert len(world.net.opened) == 1
     assert caller.wire.closed == "aborted"
     assert not caller.got.endswith(b"0\r\n\r\n")
 
 
-def test_stream_is_not_run_on_more_targets_than_allowed():
+def test_stream_is_not_run_on_more_than_max_targets():
     world = streaming_world()
     caller = world.caller()
     caller.ask(b"body")
     for _ in range(2):
         world.attempt().reply(stream_head() + chunk(event(1)))
-        world.attempt().break_off()
+        world.attempt().disconnect()
         world.run(0.2)
     assert len(world.net.opened) == 2
     assert caller.wire.closed == "aborted"
 
 
-def test_silent_target_loses_a_resumable_stream_to_another():
+def test_resumable_stream_moves_from_a_silent_target_to_another():
     world = streaming_world()
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT)
@@ -351,7 +351,7 @@
 
 
 def test_busy_target_keeps_its_stream_until_the_caller_would_give_up():
-    """Found on a standard day: streams were moved just before a long reading pass ended."""
+    """Guards against moving streams just before a long prefill of their engine ends."""
     world = streaming_world()
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT)
@@ -370,7 +370,7 @@
     assert target.closed == "aborted"
 
 
-def test_stream_of_a_target_that_stops_reporting_is_continued_elsewhere_sooner():
+def test_stream_is_hedged_sooner_when_its_target_stops_reporting():
     world = streaming_world()
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT)
@@ -384,8 +384,8 @@
     assert target.closed == "aborted"
 
 
-def test_a_connection_serves_on_after_an_answer_that_came_at_once():
-    """Found by the soak: a kept connection on which a key was refused answered nothing more."""
+def test_a_connection_stays_usable_after_an_immediate_refusal():
+    """Guards against a kept connection that stops answering after a refusal."""
     world = World()
     caller = world.caller()
     caller.ask(path=b"/nowhere/")
@@ -403,7 +403,7 @@
     assert caller.got.count(b"HTTP/1.1 404") == 1200
 
 
-def test_a_helping_engine_at_fault_is_distrusted_in_place_of_the_one_that_answers():
+def test_a_helper_at_fault_is_distrusted_instead_of_the_answering_engine():
     world = streaming_world(objective_s=1.0)
     caller = world.caller()
     caller.ask(b"body", extra=b"%s: 190000,300\r\n" % wire.TOKENS_IN_OUT)
@@ -424,7 +424,7 @@
     assert world.view.state(main).distrust_at(now_s) == 0
 
 
-def test_a_fault_of_the_box_is_answered_and_not_just_cut():
+def test_an_internal_error_is_answered_with_500():
     world = World()
     caller = world.caller()
     world.factory.keep = False
@@ -434,16 +434,16 @@
     assert caller.wire.closed == "closed"
 
 
-def read_for_long(world, tokens=1_000_000):
-    """Let all targets read a prompt for longer than a caller of a short one waits."""
+def occupy_all_targets(world, tokens=1_000_000):
+    """Place prompts whose prefill outlasts a short request's deadline on all targets."""
     for name in world.targets.entries:
         plan = WorkPlan(f"long-{name}", (name,), tokens, 0, reserved=True)
         world.view.note_placed(plan, world.net.seconds())
 
 
-def test_what_no_target_can_begin_before_its_caller_leaves_is_refused_at_once():
+def test_request_that_no_target_can_start_in_time_is_refused_at_once():
     world = streaming_world(engine=EngineTraits(memory_tokens=10_000_000))
-    read_for_long(world)
+    occupy_all_targets(world)
     caller = world.caller()
     caller.ask(extra=b"%s: 5000,100\r\n" % wire.TOKENS_IN_OUT)
     assert caller.status == 503
@@ -453,18 +453,18 @@
     assert all(len(world.view.state(name).ledger.rows) == 1 for name in world.targets.entries)
 
 
-def test_what_has_run_is_not_refused_as_not_run_because_targets_are_busy():
+def test_request_that_may_have_run_is_not_refused_when_targets_are_busy():
     world = streaming_world(engine=EngineTraits(memory_tokens=10_000_000))
     caller = world.caller()
     caller.ask(extra=b"%s: 5000,100\r\n" % wire.TOKENS_IN_OUT)
-    read_for_long(world)
-    world.attempt().break_off()
+    occupy_all_targets(world)
+    world.attempt().disconnect()
     world.run(0.2)
     assert len(world.net.opened) == 2
     assert not caller.got
 
 
-def test_of_equal_engines_the_next_request_goes_where_a_connection_is_open():
+def test_among_equal_engines_one_with_an_open_connection_is_preferred():
     world = streaming_world()
     for number in (1, 2):
         world.caller().ask(b"body")
--- a/gladedrum/forward/tests/test_reborn.py
+++ b/gladedrum/forward/tests/test_reborn.py
@@ -1,8 +1,7 @@
-"""What runs on an engine that starts again: it goes on elsewhere, and holds nothing at the new one.
+"""Requests and reservations on an engine that restarts.
 
-An engine that crashes behind a cut sends no reset. A stream there was silent for 1.4 s and more
-before another engine was asked, and memory was renewed, and given back, at a process that had never
-set it aside.
+Guards against waiting for a stream whose engine crashed without a connection reset, and against
+renewing or releasing memory at a process that has never reserved it.
 """
 
 from gladedrum.fleet import TargetReport
@@ -12,7 +11,7 @@
 OLD, NEW = 1_000_000, 1_004_000
 
 
-def note(world, born, *names):
+def report_start(world, born, *names):
     for name in names or world.targets.entries:
         report = TargetReport(0, 0, 0, 232_000, 1.0, (), born)
         world.view.note_report(name, report, world.net.seconds())
@@ -28,7 +27,7 @@
     return World(**{**fields, **route})
 
 
-def begin_stream(world):
+def start_stream(world):
     caller = world.caller()
     caller.ask(b"body")
     side = world.attempt()
@@ -36,14 +35,14 @@
     return caller, side
 
 
-def test_a_stream_goes_on_elsewhere_at_the_next_event_once_its_engine_has_started_again():
+def test_a_stream_is_resumed_elsewhere_after_its_engine_restarts():
     world = stream_world()
-    note(world, OLD)
-    caller, side = begin_stream(world)
+    report_start(world, OLD)
+    caller, side = start_stream(world)
     world.run(1.2, step_s=0.1)
     side.reply(chunk(event(2)))
     world.run(0.1)
-    note(world, NEW, target_name(side))
+    report_start(world, NEW, target_name(side))
     world.run(0.05)
     other = world.attempt()
     assert other is not side
@@ -53,45 +52,45 @@
     assert caller.got.endswith(b"0\r\n\r\n")
 
 
-def test_a_stream_that_lives_on_in_spite_of_the_news_is_not_given_up():
+def test_a_stream_that_continues_after_a_reported_restart_is_kept():
     world = stream_world()
-    note(world, OLD)
+    report_start(world, OLD)
     world.repeats.set_bound(0.0, 0.0, 1.0)
-    caller, side = begin_stream(world)
+    caller, side = start_stream(world)
     world.run(1.2, step_s=0.1)
-    note(world, NEW, target_name(side))
+    report_start(world, NEW, target_name(side))
     world.run(0.2)
     side.reply(chunk(event(2)) + chunk(b""))
     assert caller.got.endswith(b"0\r\n\r\n")
 
 
-def test_a_stream_that_was_sent_right_before_the_news_is_left_alone():
+def test_a_stream_sent_just_before_a_reported_restart_is_not_moved():
     world = stream_world()
-    note(world, OLD)
-    _caller, side = begin_stream(world)
+    report_start(world, OLD)
+    _caller, side = start_stream(world)
     opened = len(world.net.opened)
-    note(world, NEW, target_name(side))
+    report_start(world, NEW, target_name(side))
     world.run(0.3)
     assert len(world.net.opened) == opened
 
 
-def test_what_may_not_be_repeated_waits_for_its_own_answer():
+def test_an_unrepeatable_request_waits_for_its_answer_after_a_restart():
     world = World()
-    note(world, OLD)
+    report_start(world, OLD)
     caller = world.caller()
     caller.ask(b"body")
     side = world.attempt()
     world.run(1.2, step_s=0.1)
-    note(world, NEW, target_name(side))
+    report_start(world, NEW, target_name(side))
     world.run(0.3)
     assert len(world.net.opened) == 1
     side.reply(answer())
     assert caller.status == 200
 
 
-def test_memory_is_neither_renewed_nor_given_back_at_a_later_start():
+def test_memory_is_neither_renewed_nor_released_after_a_restart():
     world = long_world()
-    note(world, OLD)
+    report_start(world, OLD)
     caller = world.caller()
     caller.ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
@@ -100,17 +99,17 @@
     helper = next(place for op, _, place, _ in orders(world) if op == "reserve")
     world.run(1.1, step_s=0.1)
     before = len(orders(world))
-    note(world, NEW, f"t{helper[1] - 9000}")
+    report_start(world, NEW, f"t{helper[1] - 9000}")
     world.run(4.0, step_s=0.1)
-    caller.leave()
+    caller.disconnect()
     world.run(1.0, step_s=0.1)
     assert [o for o in orders(world)[before:] if o[2] == helper] == []
 
 
-def test_memory_that_a_later_start_has_set_aside_before_that_is_known_here_is_kept():
-    """The first answer says which start holds the memory, whatever the entry said."""
+def test_memory_reserved_by_a_not_yet_known_start_is_kept():
+    """The answer to a reservation states which start holds the memory, not the list of targets."""
     world = long_world()
-    note(world, OLD)
+    report_start(world, OLD)
     world.caller().ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     for op, _name, _place, side in orders(world):
@@ -118,14 +117,14 @@
         side.reply(answer(200, b'{"free":1,"born":%d}' % NEW, request_id=b""))
     world.run()
     assert requests(world)
-    note(world, NEW)
+    report_start(world, NEW)
     world.run(2.0, step_s=0.1)
     assert {op for op, *_ in orders(world)} == {"reserve"}
 
 
-def test_memory_that_a_later_start_has_set_aside_by_a_renewal_is_given_back_there():
+def test_memory_reserved_after_a_restart_by_a_renewal_is_released():
     world = long_world()
-    note(world, OLD)
+    report_start(world, OLD)
     world.caller().ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     grant_all(world)
--- a/gladedrum/forward/tests/test_reload.py
+++ b/gladedrum/forward/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Changed settings come into force without a restart."""
+"""Reloaded settings apply without a restart; readiness of a box without fresh configuration."""
 
 from twisted.internet.testing import MemoryReactorClock
 
@@ -8,7 +8,7 @@
 TEXT = "[forward]\nenabled = yes\nkey_bound_ms = {}\nleave_bound_ms = 2000\nretry_slack = 100\n"
 
 
-def test_a_changed_bound_on_keys_counts_at_once():
+def test_a_changed_key_bound_applies_at_once():
     box = ForwardingBox(MemoryReactorClock(), parse_settings(TEXT.format(5000)))
     box._configuration._vouch(box._reactor.seconds())
     box._reactor.advance(3.0)
@@ -17,12 +17,12 @@
     assert not box._ctx.admission.keys_are_vouched_for
 
 
-def test_a_box_that_knows_nothing_says_why_it_is_not_ready():
+def test_a_box_without_configuration_reports_why_it_is_not_ready():
     box = ForwardingBox(MemoryReactorClock(), parse_settings(TEXT.format(5000)))
     assert "no configuration is known" in box.not_ready()
 
 
-def test_a_box_whose_keys_do_not_expire_stays_ready_while_the_store_is_away():
+def test_a_stale_configuration_counts_as_unready_only_if_keys_expire():
     reasons = {}
     for expire in ("yes", "no"):
         text = TEXT.format(5000) + f"keys_expire = {expire}\n"
--- a/gladedrum/forward/tests/test_reservations.py
+++ b/gladedrum/forward/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Memory on helping engines is all taken or none, and freed on every way out."""
+"""Memory of helper engines is reserved at all or none, and released however a request ends."""
 
 import collections
 import itertools
@@ -22,7 +22,7 @@
 
 
 def orders(world):
-    """Return (operation, reservation, place, connection) of each order so far, in order."""
+    """Return (operation, reservation id, address, connection) of the orders sent so far."""
     found = []
     for side in world.net.opened:
         for part in side.sent.split(b"\r\n\r\n"):
@@ -41,8 +41,8 @@
     world.run()
 
 
-def begun_world():
-    """Return a world, a caller's long prompt whose memory is set aside, and its engine's end."""
+def world_with_reservations():
+    """Return a world with a long prompt whose memory is reserved; its caller and engine's end."""
     world = long_world()
     caller = world.caller()
     caller.ask(b"body", extra=LONG)
@@ -56,7 +56,7 @@
     return [side for side in world.net.opened if b"/x/2f" in side.sent]
 
 
-def test_a_prompt_beyond_one_engine_takes_memory_at_its_helpers_first():
+def test_a_prompt_too_large_for_one_engine_reserves_memory_at_helpers_first():
     world = long_world()
     caller = world.caller()
     caller.ask(b"body", extra=LONG)
@@ -70,18 +70,18 @@
     assert helpers[0].count(name.encode()) == len({place for _, _, place, _ in orders(world)})
 
 
-@pytest.mark.parametrize("way", ["answered", "caller leaves", "engine breaks", "time is up"])
-def test_memory_is_given_back_on_every_way_out(way):
-    world, caller, sent = begun_world()
+@pytest.mark.parametrize("ending", ["answered", "caller leaves", "engine breaks", "time is up"])
+def test_memory_is_released_however_the_request_ends(ending):
+    world, caller, sent = world_with_reservations()
     taken = {(name, place) for op, name, place, _ in orders(world) if op == "reserve"}
-    match way:
+    match ending:
         case "answered":
             sent.reply(stream_head(b"Content-Length: 0\r\n"))
         case "caller leaves":
-            caller.leave()
+            caller.disconnect()
         case "engine breaks":
             world.net.refusing = {9001, 9002, 9003}
-            sent.break_off()
+            sent.disconnect()
         case "time is up":
             world.net.advance(15.0)
     world.net.refusing = set()
@@ -90,7 +90,7 @@
     assert taken <= released
 
 
-def test_one_refusal_gives_all_back_and_the_request_is_not_sent():
+def test_one_refused_reservation_releases_all_and_nothing_is_sent():
     world = long_world()
     caller = world.caller()
     caller.ask(b"body", extra=LONG)
@@ -103,7 +103,7 @@
     assert released & reserved
 
 
-def test_a_hold_is_short_enough_to_lapse_by_itself_in_time():
+def test_a_reservation_expires_within_the_free_bound():
     world = long_world()
     world.caller().ask(b"body", extra=LONG)
     world.run()
@@ -111,20 +111,19 @@
     assert max(holds) < world.ctx.free_bound_s * 1000
 
 
-def test_a_release_while_the_memory_is_renewed_is_no_fault(caplog):
-    """Found by a play of a large fleet: an error was logged where a renewal was cut short."""
-    world, caller, _sent = begun_world()
+def test_a_release_during_a_renewal_logs_no_error(caplog):
+    """Guards against logging an error when a release cancels a renewal."""
+    world, caller, _sent = world_with_reservations()
     orders_before = len(orders(world))
     while len(orders(world)) == orders_before:
         world.run(0.1)
-    caller.leave()
+    caller.disconnect()
     world.run(0.5)
     assert "reservation's task failed" not in caplog.text
 
 
-def test_two_renewals_may_be_lost():
-    """Only one could be, or none beside an engine without an answer: the next came after the hold,
-    and an engine cuts the request whose memory lapses."""
+def test_a_reservation_is_renewed_often_enough_to_lose_two_renewals():
+    """Guards against expiry: an engine aborts a request whose reservation expires."""
     world = long_world()
     world.caller().ask(b"body", extra=LONG)
     world.run()
@@ -140,19 +139,19 @@
     assert len(sent_s) >= 3, sent_s
 
 
-def resting_world(rest_s):
-    """Return a world with a stream whose helpers want rest, and when they said so."""
-    world, caller, sent = begun_world()
+def world_with_paused_helpers(rest_s):
+    """Return a world with a stream whose targets have all requested a pause, and its caller."""
+    world, caller, sent = world_with_reservations()
     sent.reply(stream_head())
     for name in ("t1", "t2", "t3"):
         world.view.note_rest(name, rest_s, world.net.seconds())
     return world, caller
 
 
-def test_memory_at_an_engine_that_wants_rest_is_renewed_as_late_as_it_may():
-    world, _caller = resting_world(rest_s=6.0)
+def test_memory_at_a_paused_engine_is_renewed_as_late_as_possible():
+    world, _caller = world_with_paused_helpers(rest_s=6.0)
     hold_s = HOLD_SHARE * world.ctx.free_bound_s
-    came_s = {place: [0.0] for _, _, place, _ in orders(world)}
+    renewed_s = {place: [0.0] for _, _, place, _ in orders(world)}
     answered = collections.Counter(side for *_, side in orders(world))
     for step in range(1, 121):
         world.net.advance(0.05)
@@ -160,24 +159,24 @@
         for side, count in collections.Counter(side for *_, side in orders(world)).items():
             if count > answered[side]:
                 answered[side] = count
-                came_s[side.place].append(step * 0.05)
+                renewed_s[side.place].append(step * 0.05)
                 side.reply(answer(200, b"{}", request_id=b""))
     assert {op for op, *_ in orders(world)} == {"reserve"}
-    for times in came_s.values():
+    for times in renewed_s.values():
         assert 2 <= len(times) - 1 <= 4
         assert max(b - a for a, b in itertools.pairwise([*times, 6.0])) < hold_s
 
 
-def test_memory_that_lapses_within_the_rest_is_not_freed_by_an_order():
-    world, caller = resting_world(rest_s=6.0)
-    caller.leave()
+def test_memory_that_expires_during_the_pause_is_not_released_explicitly():
+    world, caller = world_with_paused_helpers(rest_s=6.0)
+    caller.disconnect()
     world.run(6.5)
     assert {op for op, *_ in orders(world)} == {"reserve"}
 
 
-def test_memory_that_would_outlast_the_rest_is_freed_after_it():
-    world, caller = resting_world(rest_s=1.0)
-    caller.leave()
+def test_memory_that_would_outlast_the_pause_is_released_after_it():
+    world, caller = world_with_paused_helpers(rest_s=1.0)
+    caller.disconnect()
     world.run(0.9)
     assert {op for op, *_ in orders(world)} == {"reserve"}
     world.run(0.3)
--- a/gladedrum/forward/tests/test_withheld.py
+++ b/gladedrum/forward/tests/test_withheld.py
@@ -1,8 +1,7 @@
-"""Requests that are held back at the gate: chosen for a target that then says it can't be.
+"""Attempts that are withheld: their target announces leaving or a pause before they are sent.
 
-Seen in review: the request had gone nowhere, and yet it was counted as offered, its next try took a
-repeat, and it was refused if its connection had taken an eighth of its objective. Cause: a try that
-was not sent ended like one that no target takes.
+Guards against counting an unsent attempt as an offer, charging it to the retry budget, and refusing
+its request.
 """
 
 import pytest
@@ -12,7 +11,7 @@
 
 
 @pytest.mark.parametrize("said", [Statements(leaves=True), Statements(rest_s=3.0)])
-def test_one_goes_elsewhere_at_once_and_for_nothing(said):
+def test_a_withheld_attempt_moves_elsewhere_at_once_without_a_retry(said):
     world = World(targets=2, repeatable=True, max_targets=2)
     world.net.connect_delay_s = 0.1
     caller = world.caller()
@@ -31,7 +30,7 @@
     assert world.tasks[0]._offers == 1
 
 
-def test_one_that_is_held_back_everywhere_is_refused_as_not_run():
+def test_a_request_withheld_everywhere_is_refused_as_not_run():
     world = World(targets=1, repeatable=True)
     world.net.connect_delay_s = 0.1
     caller = world.caller()
