--- a/gladedrum/forward/tests/crashing.py
+++ b/gladedrum/forward/tests/crashing.py
@@ -207,8 +207,8 @@
             run.side.reply(chunk(b""))
 
     def _crash(self, engine: Engine, now_s: float) -> None:
-        began = tuple(r.body for r in engine.runs if now_s - r.arrived_s >= START_DELAY_S)
-        self.crashes.append((now_s, engine.port, began))
+        started = tuple(r.body for r in engine.runs if now_s - r.arrived_s >= START_DELAY_S)
+        self.crashes.append((now_s, engine.port, started))
         engine.up, engine.runs = False, []
         self.net.refusing.add(engine.port)
         for side in self.net.opened:
--- a/gladedrum/forward/tests/saying.py
+++ b/gladedrum/forward/tests/saying.py
@@ -1,6 +1,6 @@
-"""A fleet whose targets announce in their answers that they leave, or request a pause.
+"""A fleet whose targets announce in their answers that they leave, or request a backoff.
 
-The store's list of targets shows neither. A target requests a pause by a refusal with Retry-After.
+The store's list shows neither. A target requests a backoff by a refusal with Retry-After.
 Arrivals are recorded as in `limiting`; checks count those from boxes that the target has informed.
 """
 
@@ -13,13 +13,13 @@
 
 LEAVE_BOUND_S = 2.0
 """Within this time a box must stop sending to a target that has announced to it that it leaves."""
-PAUSE_COUNTED_AFTER_S, MAX_DURING_PAUSE = 0.5, 2
-"""From `PAUSE_COUNTED_AFTER_S` after its refusal until the end of the pause, a target may get at
-most `MAX_DURING_PAUSE` HTTP requests of any kind from the box."""
+BACKOFF_COUNTED_AFTER_S, MAX_DURING_BACKOFF = 0.5, 2
+"""From `BACKOFF_COUNTED_AFTER_S` after its refusal until the end of the backoff, a target may get
+at most `MAX_DURING_BACKOFF` HTTP requests of any kind from the box."""
 
 
-class RequestedPause(NamedTuple):
-    """A pause that a target has requested from a box."""
+class RequestedBackoff(NamedTuple):
+    """A period in which a target wants no requests from a box, by its refusal."""
 
     port: int
     box: str
@@ -28,13 +28,13 @@
 
 
 class StatementFleet(RateLimitingFleet):
-    """Boxes and engines; tests make engines announce leaving or request pauses."""
+    """Boxes and engines; tests make engines announce leaving or request backoffs."""
 
     def __init__(self, targets: int = 4, boxes: int = 3, **route):
         self.leaving: dict[int, bytes] = {}
         self.leaving_announced_s: dict[tuple[int, str], float] = {}
         self.refusals: dict[tuple[int, str], bytes] = {}
-        self.pauses: list[RequestedPause] = []
+        self.backoffs: list[RequestedBackoff] = []
         super().__init__(targets, boxes, **route)
 
     # Interface for tests.
@@ -43,16 +43,14 @@
         """Have a target announce in all answers that it leaves; `word` is the header's value."""
         self.leaving[port] = word
 
-    def refuse_and_request_pause(
-        self, port: int, pause: bytes, boxes: tuple[str, ...] = ()
-    ) -> None:
+    def refuse_with_backoff(self, port: int, backoff: bytes, boxes: tuple[str, ...] = ()) -> None:
         """Have a target refuse requests of boxes (default: all) with this Retry-After value."""
         for box in boxes or self.boxes:
-            self.refusals[port, box] = pause
+            self.refusals[port, box] = backoff
 
     def stop_refusing(self, port: int) -> None:
         """Have a target accept requests of all boxes again."""
-        self.refusals = {key: pause for key, pause in self.refusals.items() if key[0] != port}
+        self.refusals = {key: backoff for key, backoff in self.refusals.items() if key[0] != port}
 
     def busiest(self) -> int:
         """Return the port of the target that has received most requests."""
@@ -78,15 +76,15 @@
             if a.at_s > announced_s.get((port, a.box), float("inf")) + LEAVE_BOUND_S
         ]
 
-    def most_during_pause(self) -> int:
-        """Return the maximum of arrivals of any kind from a box during one of its pauses."""
-        return max((self._arrivals_during(pause) for pause in self.pauses), default=0)
+    def most_during_backoff(self) -> int:
+        """Return the maximum of arrivals of any kind from a box during one of its backoffs."""
+        return max((self._arrivals_during(backoff) for backoff in self.backoffs), default=0)
 
-    def _arrivals_during(self, pause: RequestedPause) -> int:
+    def _arrivals_during(self, backoff: RequestedBackoff) -> int:
         return sum(
-            a.port == pause.port
-            and a.box == pause.box
-            and pause.from_s + PAUSE_COUNTED_AFTER_S <= a.at_s < pause.to_s
+            a.port == backoff.port
+            and a.box == backoff.box
+            and backoff.from_s + BACKOFF_COUNTED_AFTER_S <= a.at_s < backoff.to_s
             for a in self.arrivals
         )
 
@@ -94,18 +92,18 @@
 
     def _receive(self, index: int, side) -> None:
         engine, box = self.engines[side.place[1]], self._box_of(side)
-        pause = self.refusals.get((engine.port, box))
+        backoff = self.refusals.get((engine.port, box))
         is_request = wire.REPORT_PATH.encode() not in side.sent.split(b"\r\n")[0]
-        if not engine.up or pause is None or not is_request:
+        if not engine.up or backoff is None or not is_request:
             super()._receive(index, side)
             return
         now_s, data = self.net.seconds(), side.wire.pop_written()
         self.arrivals.append(Arrival(now_s, engine.port, box, data.split(b" ", 2)[1]))
         self._add_statements(side, engine)
-        if re.fullmatch(rb"[0-9.]+", pause):
-            self.pauses.append(RequestedPause(engine.port, box, now_s, now_s + float(pause)))
+        if re.fullmatch(rb"[0-9.]+", backoff):
+            self.backoffs.append(RequestedBackoff(engine.port, box, now_s, now_s + float(backoff)))
         request_id = re.search(rb"(?i)%s: (\S+)" % wire.REQUEST_ID, data).group(1)
-        extra = b"%s: 1\r\nRetry-After: %s\r\n" % (wire.NOT_RUN, pause)
+        extra = b"%s: 1\r\nRetry-After: %s\r\n" % (wire.NOT_RUN, backoff)
         side.reply(answer(503, b"no", request_id, extra))
 
     def _statement_headers(self, port: int, box: str) -> list[bytes]:
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -249,8 +249,8 @@
         return self.configuration.table.services[name]
 
     def _handle(self, req, caller):
-        task, ended = start_request(self.ctx, req, caller)
-        ended.addCallback(self.outcomes.append)
+        task, finished = start_request(self.ctx, req, caller)
+        finished.addCallback(self.outcomes.append)
         self.tasks.append(task)
         return task
 
--- a/gladedrum/forward/tests/test_crashing_fleet.py
+++ b/gladedrum/forward/tests/test_crashing_fleet.py
@@ -247,7 +247,7 @@
     world.run()
     grant_all(world)
     (side,) = requests(world)
-    helper = next(place for op, _, place, _ in orders(world) if op == "reserve")
+    helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
     fault = b"%s: %s:%d\r\n%s: 1\r\n" % (wire.AT_FAULT, helper[0].encode(), helper[1], wire.NOT_RUN)
     side.reply(answer(503, b"no", extra=fault))
     (loss,) = world.view.suspects.losses()
--- a/gladedrum/forward/tests/test_dead_run.py
+++ b/gladedrum/forward/tests/test_dead_run.py
@@ -38,8 +38,8 @@
     answered = 0
     for side in world.net.opened:
         asked = side.sent.count(b"GET ")
-        if not side.closed and asked > getattr(side, "told", 0):
-            side.told = asked
+        if not side.closed and asked > getattr(side, "answered_count", 0):
+            side.answered_count = asked
             side.reply(answer(200, json.dumps(body).encode(), request_id=b""))
             answered += 1
     return answered
--- a/gladedrum/forward/tests/test_drain.py
+++ b/gladedrum/forward/tests/test_drain.py
@@ -10,13 +10,13 @@
 
 def stop(world: World):
     """Start to drain the box; return a list that gets an entry when draining has finished."""
-    ended = []
+    drained = []
     world.accepting = True
     draining = drain_callers(
         world.net, world.factory, lambda: setattr(world, "accepting", False), 8.0
     )
-    start(draining).addCallback(lambda _none: ended.append(1))
-    return ended
+    start(draining).addCallback(lambda _none: drained.append(1))
+    return drained
 
 
 def test_the_process_waits_until_the_last_bytes_are_written():
@@ -28,27 +28,27 @@
         1
     )  # a real one closes only once all is written
     caller.ask(b"body")
-    ended = stop(world)
+    drained = stop(world)
     world.run(4.0)
     world.attempt().reply(answer())
     world.run(0.5)
     assert unsent
-    assert not ended
+    assert not drained
     caller.disconnect()
     world.run(0.1)
-    assert ended
+    assert drained
 
 
 def test_a_kept_connection_closes_with_its_next_answer():
     world = World()
     caller = world.caller()
-    ended = stop(world)
+    drained = stop(world)
     caller.ask(b"body")
     world.attempt().reply(answer())
     assert b"connection: close" in caller.got.lower()
     assert caller.wire.closed
     world.run(ACCEPT_ON_S + 0.1)
-    assert ended
+    assert drained
 
 
 def test_idle_connections_close_after_the_load_balancer_grace_period():
@@ -75,9 +75,9 @@
 def test_drain_finishes_before_the_process_would_be_killed():
     world = World(time_limit_s=30.0)
     world.caller().ask(b"body")
-    ended = stop(world)
+    drained = stop(world)
     world.run(7.5)
-    assert ended
+    assert drained
 
 
 def test_a_connection_carries_one_request_without_keep_alive():
--- a/gladedrum/forward/tests/test_grey_target.py
+++ b/gladedrum/forward/tests/test_grey_target.py
@@ -75,13 +75,13 @@
 
 def test_peers_learn_of_an_overdue_request():
     world = plain_world()
-    told = []
-    world.ctx.port.tell_work = told.append
+    notes = []
+    world.ctx.port.tell_work = notes.append
     world.caller().ask(b"body")
     side = world.attempt()
     world.run(0.3)
     peer = plain_world()
-    for note in told:
+    for note in notes:
         peer.view._take_work(note, "peer", 1.0)
     assert peer.view.state(name_of(side)).distrust_at(1.0) > 0
     assert peer.view.state(name_of(side)).ledger.rows
--- a/gladedrum/forward/tests/test_hedging_review.py
+++ b/gladedrum/forward/tests/test_hedging_review.py
@@ -31,7 +31,7 @@
     return World(**{"repeatable": True, "max_targets": 2, "time_limit_s": 4.0, **route})
 
 
-def send_request(world):
+def send_and_connect(world):
     caller = world.caller()
     caller.ask()
     return caller, world.attempt()
@@ -49,7 +49,7 @@
 
 def test_a_stream_that_cannot_be_resumed_is_relayed_immediately():
     world = World(streaming=True, resumable=False)
-    caller, target = send_request(world)
+    caller, target = send_and_connect(world)
     target.reply(stream_head() + chunk(event(1)))
     assert caller.got.count(b"data: e") == 1
     target.reply(chunk(event(2)))
@@ -67,7 +67,7 @@
 
     monkeypatch.setattr(hedging.HedgedTries, "_look", bounded)
     world = plain_world()
-    _caller, target = send_request(world)
+    _caller, target = send_and_connect(world)
     target.reply(stream_head() + chunk(LONG))
     world.run(1.5)
     assert len(checks) < 100
@@ -77,7 +77,7 @@
 
 def test_a_long_error_answer_is_relayed_whole():
     world = plain_world()
-    caller, target = send_request(world)
+    caller, target = send_and_connect(world)
     target.reply(answer(500, LONG))
     world.run(0.1)
     assert len(world.net.opened) == 1
@@ -87,7 +87,7 @@
 
 def test_a_broken_long_answer_is_not_joined_with_another_attempt():
     world = plain_world()
-    caller, target = send_request(world)
+    caller, target = send_and_connect(world)
     target.reply(stream_head() + chunk(LONG))
     target.disconnect()
     world.run(0.1)
@@ -100,7 +100,7 @@
 def test_a_long_answer_broken_during_hedge_placement_is_not_joined_with_the_hedge():
     world = plain_world()
     world.ctx.repeats.take = delayed(world, world.ctx.repeats.take)
-    caller, lead = send_request(world)
+    caller, lead = send_and_connect(world)
     world.run(1.0)
     lead.reply(stream_head() + chunk(LONG))
     lead.disconnect()
@@ -114,7 +114,7 @@
 
 def test_refused_hedges_count_towards_the_offer_limit():
     world = plain_world(targets=20, time_limit_s=30.0)
-    _caller, lead = send_request(world)
+    _caller, lead = send_and_connect(world)
     for _ in range(35):
         world.run(0.1)
         for hedge in world.net.opened[1:]:
@@ -162,7 +162,7 @@
     A request that is still open when the process ends takes its closing connection for a crash.
     """
     world = World(time_limit_s=30.0)
-    caller, _target = send_request(world)
+    caller, _target = send_and_connect(world)
     ended_before = []
     stop(world)
     world.factory.when_all_closed().addCallback(lambda _none: ended_before.extend(world.outcomes))
--- a/gladedrum/forward/tests/test_hostile.py
+++ b/gladedrum/forward/tests/test_hostile.py
@@ -93,17 +93,17 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
 def test_an_arbitrary_datagram_is_decoded_or_dropped(data):
-    told = gossip.decode(data)
-    if told is not None:
-        FleetView().take(told, ["t1"], 0.0)
+    message = gossip.decode(data)
+    if message is not None:
+        FleetView().take(message, ["t1"], 0.0)
 
 
 def test_a_datagram_round_trip_keeps_its_notes():
     plan = WorkPlan("w1", ("t1", "t2"), 60_000, 700, 7.0, 1.5, 0.6, reserved=True)
     note = note_of(plan, gossip.PLACED)
-    told = gossip.decode(gossip.encode(Gossip("b", [note], [ReportNote("t1", False)], True)))
-    assert plan_of(told.work[0]) == plan
-    assert (told.box, told.leaving, told.reports[0].answered) == ("b", True, False)
+    message = gossip.decode(gossip.encode(Gossip("b", [note], [ReportNote("t1", False)], True)))
+    assert plan_of(message.work[0]) == plan
+    assert (message.box, message.leaving, message.reports[0].answered) == ("b", True, False)
 
 
 def test_lost_or_duplicate_datagrams_leave_no_work_behind():
@@ -113,8 +113,8 @@
     changes = [(plan, change) for plan in plans for change in (1, 2, 3)]
     for plan, change in changes:
         for _ in range(rng.choice([0, 1, 2])):
-            told = Gossip("b", [note_of(plan, change)], [], False)
-            view.take(told, ["t1", "t2"], 1.0)
+            message = Gossip("b", [note_of(plan, change)], [], False)
+            view.take(message, ["t1", "t2"], 1.0)
     left = view.state("t1").ledger
     assert left.rows
     left.advance(world_traits(), 100.0)
--- a/gladedrum/forward/tests/test_life.py
+++ b/gladedrum/forward/tests/test_life.py
@@ -411,14 +411,14 @@
     main = target.sent.partition(wire.EXPECTED_TARGET + b": ")[2].partition(b"\r\n")[0].decode()
     helpers = target.sent.partition(wire.HELPERS + b": ")[2].partition(b"\r\n")[0].split(b",")
     assert helpers != [b""]
-    place = helpers[0]
+    address = helpers[0]
     target.reply(
-        answer(503, b"", extra=b"%s: 1\r\n%s: %s\r\n" % (wire.NOT_RUN, wire.AT_FAULT, place))
+        answer(503, b"", extra=b"%s: 1\r\n%s: %s\r\n" % (wire.NOT_RUN, wire.AT_FAULT, address))
     )
     world.run()
     now_s = world.net.seconds()
     at_fault = next(
-        e.name for e in world.targets.entries.values() if f"{e.host}:{e.port}".encode() == place
+        e.name for e in world.targets.entries.values() if f"{e.host}:{e.port}".encode() == address
     )
     assert world.view.state(at_fault).distrust_at(now_s) > 0
     assert world.view.state(main).distrust_at(now_s) == 0
--- a/gladedrum/forward/tests/test_reborn.py
+++ b/gladedrum/forward/tests/test_reborn.py
@@ -11,9 +11,9 @@
 OLD, NEW = 1_000_000, 1_004_000
 
 
-def report_start(world, born, *names):
+def report_start(world, generation, *names):
     for name in names or world.targets.entries:
-        report = TargetReport(0, 0, 0, 232_000, 1.0, (), born)
+        report = TargetReport(0, 0, 0, 232_000, 1.0, (), generation)
         world.view.note_report(name, report, world.net.seconds())
     world.run()
 
@@ -96,7 +96,7 @@
     world.run()
     grant_all(world)
     assert requests(world)
-    helper = next(place for op, _, place, _ in orders(world) if op == "reserve")
+    helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
     world.run(1.1, step_s=0.1)
     before = len(orders(world))
     report_start(world, NEW, f"t{helper[1] - 9000}")
@@ -128,14 +128,14 @@
     world.caller().ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     grant_all(world)
-    helper = next(place for op, _, place, _ in orders(world) if op == "reserve")
+    helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
     before = len(orders(world))
     for _ in range(30):
         world.run(0.1)
-        for op, _name, place, side in orders(world)[before:]:
-            if op == "reserve" and place == helper and not getattr(side, "told", False):
-                side.told = True
+        for op, _name, address, side in orders(world)[before:]:
+            if op == "reserve" and address == helper and not getattr(side, "renewed", False):
+                side.renewed = True
                 side.reply(answer(200, b'{"free":1,"born":%d}' % NEW, request_id=b""))
-    after = [op for op, _name, place, _side in orders(world)[before:] if place == helper]
+    after = [op for op, _name, address, _side in orders(world)[before:] if address == helper]
     assert after[:2] == ["reserve", "release"]
     assert "reserve" not in after[2:]
--- a/gladedrum/forward/tests/test_reservations.py
+++ b/gladedrum/forward/tests/test_reservations.py
@@ -67,13 +67,13 @@
     (sent,) = requests(world)
     name = orders(world)[0][1]
     helpers = [line for line in sent.sent.split(b"\r\n") if line.lower().startswith(b"helpers:")]
-    assert helpers[0].count(name.encode()) == len({place for _, _, place, _ in orders(world)})
+    assert helpers[0].count(name.encode()) == len({address for _, _, address, _ in orders(world)})
 
 
 @pytest.mark.parametrize("ending", ["answered", "caller leaves", "engine breaks", "time is up"])
 def test_memory_is_released_however_the_request_ends(ending):
     world, caller, sent = world_with_reservations()
-    taken = {(name, place) for op, name, place, _ in orders(world) if op == "reserve"}
+    taken = {(name, address) for op, name, address, _ in orders(world) if op == "reserve"}
     match ending:
         case "answered":
             sent.reply(stream_head(b"Content-Length: 0\r\n"))
@@ -86,7 +86,7 @@
             world.net.advance(15.0)
     world.net.refusing = set()
     world.run(2.0)
-    released = {(name, place) for op, name, place, _ in orders(world) if op == "release"}
+    released = {(name, address) for op, name, address, _ in orders(world) if op == "release"}
     assert taken <= released
 
 
@@ -98,8 +98,8 @@
     grant_all(world, status=409)
     assert not requests(world)
     world.run(0.05)
-    reserved = {(name, place) for op, name, place, _ in orders(world) if op == "reserve"}
-    released = {(name, place) for op, name, place, _ in orders(world) if op == "release"}
+    reserved = {(name, address) for op, name, address, _ in orders(world) if op == "reserve"}
+    released = {(name, address) for op, name, address, _ in orders(world) if op == "release"}
     assert released & reserved
 
 
@@ -129,29 +129,29 @@
     world.run()
     grant_all(world)
     assert requests(world)
-    begun_s, before, sent_s = world.net.seconds(), len(orders(world)), []
+    started_s, before, sent_s = world.net.seconds(), len(orders(world)), []
     hold_s = min(20.0, HOLD_SHARE * world.ctx.free_bound_s)
-    while world.net.seconds() - begun_s < hold_s - 0.05:
+    while world.net.seconds() - started_s < hold_s - 0.05:
         world.run(0.05)
         renewals = [o for o in orders(world)[before:] if o[0] == "reserve"]
         before += len(renewals)
-        sent_s += [world.net.seconds() - begun_s] * bool(renewals)
+        sent_s += [world.net.seconds() - started_s] * bool(renewals)
     assert len(sent_s) >= 3, sent_s
 
 
-def world_with_paused_helpers(rest_s):
-    """Return a world with a stream whose targets have all requested a pause, and its caller."""
+def world_in_backoff(backoff_s):
+    """Return a world with a stream whose targets have all requested a backoff; its caller."""
     world, caller, sent = world_with_reservations()
     sent.reply(stream_head())
     for name in ("t1", "t2", "t3"):
-        world.view.note_rest(name, rest_s, world.net.seconds())
+        world.view.note_rest(name, backoff_s, world.net.seconds())
     return world, caller
 
 
-def test_memory_at_a_paused_engine_is_renewed_as_late_as_possible():
-    world, _caller = world_with_paused_helpers(rest_s=6.0)
+def test_memory_at_an_engine_in_backoff_is_renewed_as_late_as_possible():
+    world, _caller = world_in_backoff(backoff_s=6.0)
     hold_s = HOLD_SHARE * world.ctx.free_bound_s
-    renewed_s = {place: [0.0] for _, _, place, _ in orders(world)}
+    renewed_s = {address: [0.0] for _, _, address, _ in orders(world)}
     answered = collections.Counter(side for *_, side in orders(world))
     for step in range(1, 121):
         world.net.advance(0.05)
@@ -167,18 +167,18 @@
         assert max(b - a for a, b in itertools.pairwise([*times, 6.0])) < hold_s
 
 
-def test_memory_that_expires_during_the_pause_is_not_released_explicitly():
-    world, caller = world_with_paused_helpers(rest_s=6.0)
+def test_memory_that_expires_during_the_backoff_is_not_released_explicitly():
+    world, caller = world_in_backoff(backoff_s=6.0)
     caller.disconnect()
     world.run(6.5)
     assert {op for op, *_ in orders(world)} == {"reserve"}
 
 
-def test_memory_that_would_outlast_the_pause_is_released_after_it():
-    world, caller = world_with_paused_helpers(rest_s=1.0)
+def test_memory_that_would_outlast_the_backoff_is_released_after_it():
+    world, caller = world_in_backoff(backoff_s=1.0)
     caller.disconnect()
     world.run(0.9)
     assert {op for op, *_ in orders(world)} == {"reserve"}
     world.run(0.3)
-    taken = {place for op, _, place, _ in orders(world) if op == "reserve"}
-    assert {place for op, _, place, _ in orders(world) if op == "release"} == taken
+    taken = {address for op, _, address, _ in orders(world) if op == "reserve"}
+    assert {address for op, _, address, _ in orders(world) if op == "release"} == taken
--- a/gladedrum/forward/tests/test_withheld.py
+++ b/gladedrum/forward/tests/test_withheld.py
@@ -1,4 +1,4 @@
-"""Attempts that are withheld: their target announces leaving or a pause before they are sent.
+"""Attempts that are withheld: their target announces leaving or a backoff before they are sent.
 
 Guards against counting an unsent attempt as an offer, charging it to the retry budget, and refusing
 its request.
@@ -10,15 +10,15 @@
 from gladedrum.platform.statements import Statements
 
 
-@pytest.mark.parametrize("said", [Statements(leaves=True), Statements(rest_s=3.0)])
-def test_a_withheld_attempt_moves_elsewhere_at_once_without_a_retry(said):
+@pytest.mark.parametrize("statements", [Statements(leaves=True), Statements(rest_s=3.0)])
+def test_a_withheld_attempt_moves_elsewhere_at_once_without_a_retry(statements):
     world = World(targets=2, repeatable=True, max_targets=2)
     world.net.connect_delay_s = 0.1
     caller = world.caller()
     caller.ask(b"body")
     world.run(0.05)
     (placed,) = [name for name in ("t1", "t2") if world.view.state(name).ledger.rows]
-    world.statements.note_answer(placed, 0, said, world.net.seconds())
+    world.statements.note_answer(placed, 0, statements, world.net.seconds())
     world.run(0.2)
     sent = [side for side in world.net.opened if b"/x/2f" in side.sent]
     assert len(sent) == 1
