--- a/gladedrum/forward/tests/saying.py
+++ b/gladedrum/forward/tests/saying.py
@@ -1,7 +1,7 @@
 """A fleet whose targets announce in their answers that they leave, or request a backoff.
 
 The store's list shows neither. A target requests a backoff by a refusal with Retry-After.
-Arrivals are recorded as in `limiting`; checks count those from boxes that the target has informed.
+Arrivals are recorded as in `RateLimitingFleet`; checks count those from informed boxes.
 """
 
 import re
--- a/gladedrum/forward/tests/test_dead_run.py
+++ b/gladedrum/forward/tests/test_dead_run.py
@@ -1,6 +1,6 @@
 """A request that its engine no longer holds, though the engine is healthy (its answer was lost).
 
-Guards against waiting for such a request up to most of the caller's deadline. Boxes that receive no
+Guards against waiting for such a request for most of the caller's deadline. Boxes that receive no
 reports must request them and compare the engine's memory use with what the request needs.
 """
 
--- a/gladedrum/forward/tests/test_drain.py
+++ b/gladedrum/forward/tests/test_drain.py
@@ -24,9 +24,7 @@
     world = World(time_limit_s=30.0)
     caller = world.caller()
     unsent = []
-    caller.wire.loseConnection = lambda: unsent.append(
-        1
-    )  # a real one closes only once all is written
+    caller.wire.loseConnection = lambda: unsent.append(1)  # closes only once all is written
     caller.ask(b"body")
     drained = stop(world)
     world.run(4.0)
