--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -263,7 +263,7 @@
         return Caller(self)
 
     def digest_of(self, body: bytes) -> bytes:
-        """Return the request digest of a body that `Caller.ask` sends with its defaults."""
+        """Return the digest of a body that `Caller.ask` sends with its defaults."""
         headers = [(b"host", b"a.example")]
         return request_digest(CallerRequest(b"POST", b"/x/2f", headers, body, 0.0), "org")
 
