--- a/gladedrum/forward/tests/test_withheld.py
+++ b/gladedrum/forward/tests/test_withheld.py
@@ -1,8 +1,7 @@
-"""Requests that are held back at the gate: chosen for a target that then says it can't be.
+"""Attempts that are withheld: their target announces leaving or a backoff before they are sent.
 
-Seen in review: the request had gone nowhere, and yet it was counted as offered, its next try took a
-repeat, and it was refused if its connection had taken an eighth of its objective. Cause: a try that
-was not sent ended like one that no target takes.
+Guards against counting an unsent attempt as an offer, charging it to the retry budget, and refusing
+its request.
 """
 
 import pytest
@@ -11,15 +10,15 @@
 from gladedrum.platform.statements import Statements
 
 
-@pytest.mark.parametrize("said", [Statements(leaves=True), Statements(rest_s=3.0)])
-def test_one_goes_elsewhere_at_once_and_for_nothing(said):
+@pytest.mark.parametrize("statements", [Statements(leaves=True), Statements(rest_s=3.0)])
+def test_a_withheld_attempt_moves_elsewhere_at_once_without_a_retry(statements):
     world = World(targets=2, repeatable=True, max_targets=2)
     world.net.connect_delay_s = 0.1
     caller = world.caller()
     caller.ask(b"body")
     world.run(0.05)
     (placed,) = [name for name in ("t1", "t2") if world.view.state(name).ledger.rows]
-    world.statements.note_answer(placed, 0, said, world.net.seconds())
+    world.statements.note_answer(placed, 0, statements, world.net.seconds())
     world.run(0.2)
     sent = [side for side in world.net.opened if b"/x/2f" in side.sent]
     assert len(sent) == 1
@@ -31,7 +30,7 @@
     assert world.tasks[0]._offers == 1
 
 
-def test_one_that_is_held_back_everywhere_is_refused_as_not_run():
+def test_a_request_withheld_everywhere_is_refused_as_not_run():
     world = World(targets=1, repeatable=True)
     world.net.connect_delay_s = 0.1
     caller = world.caller()
