--- a/gladedrum/connections/__init__.py
+++ b/gladedrum/connections/__init__.py
@@ -1,5 +1,6 @@
-"""HTTP/1.1 on the connections of callers and targets, and the pool of open ones.
+"""HTTP/1.1 connections to callers and targets, and the pool of connections to targets.
 
-In come bytes, out go typed messages to the task of a request. Decides nothing about requests; may
-import `platform` for the names on the wire, and nothing of beliefs, placing or requests.
+Connections parse bytes into typed messages for the task that handles a request; they make no
+decisions about requests. This package may import `platform` for names on the wire, but not
+`beliefs`, `placing` or `forward`.
 """
--- a/gladedrum/connections/caller_conn.py
+++ b/gladedrum/connections/caller_conn.py
@@ -1,4 +1,4 @@
-"""One caller's connection: reads requests, one at a time, and writes the answers."""
+"""Server side of callers' connections: reads requests one at a time and writes responses."""
 
 import logging
 from collections.abc import Callable
@@ -13,36 +13,36 @@
 
 __all__ = ["CallerConnection", "CallerFactory", "RequestHandler"]
 
-_PIPELINED_BYTES = 65_536
-"""What is read ahead of the request at work, in bytes, before reading stops."""
+_MAX_READ_AHEAD_BYTES = 65_536
+"""The number of bytes read ahead of the current request before reading is paused."""
 
 _log = logging.getLogger(__name__)
 
 
 class RequestHandler(Interface):
-    """What is told about a request; made for each one by the factory's `handle`."""
+    """Receives connection events while a request is handled; `CallerFactory.handle` returns one."""
 
     def caller_gone(self) -> None:
-        """The caller has closed its connection before the answer was complete."""
+        """Called when the caller has closed its connection before the response was complete."""
 
     def set_reading(self, on: bool) -> None:
-        """The caller takes the answer more slowly than it comes, or again fast enough."""
+        """Called with False when the caller reads too slowly, with True when it has caught up."""
 
 
 class CallerConnection(protocol.Protocol):
-    """Server side of HTTP/1.1 on one connection.
+    """The connection of one caller.
 
     Parameters
     ----------
     clock : IReactorTime
-        For time limits.
+        For timeouts.
     factory : CallerFactory
-        Gives the limits in force and takes the requests.
+        Provides the current limits and handles the requests.
     """
 
     def __init__(self, clock: IReactorTime, factory: "CallerFactory"):
         self._clock = clock
-        self._site = factory
+        self._factory = factory
         self._limits = factory.limits()
         self._http = h11.Connection(h11.SERVER, self._limits.header_bytes)
         self._request: h11.Request | None = None
@@ -51,27 +51,27 @@
         self._body_bytes = 0
         self._handler: RequestHandler | None = None
         self._timer: IDelayedCall | None = None
-        self._header_begun = False
+        self._header_started = False
         self._closing = False
         self._read_ahead = 0
-        self._answers = 0
+        self._responses = 0
         self._dispatching = False
 
-    # What Twisted calls.
+    # Called by Twisted.
 
     def connectionMade(self) -> None:
-        """Begin to wait for a request."""
+        """Start waiting for a request."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self._site.connections.add(self)
-        self._wait(self._limits.idle_time_s, self._idle_too_long)
+        self._factory.connections.add(self)
+        self._set_timer(self._limits.idle_time_s, self._on_idle_timeout)
 
     def dataReceived(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         if self._closing and self._handler is None:
             return
         self._read_ahead += len(data)
-        if self._handler is not None and self._read_ahead > _PIPELINED_BYTES:
+        if self._handler is not None and self._read_ahead > _MAX_READ_AHEAD_BYTES:
             self.transport.pauseProducing()
         try:
             self._http.receive_data(data)
@@ -82,46 +82,46 @@
             self._parse()
 
     def connectionLost(self, reason=None) -> None:
-        """Tell the request at work."""
+        """Notify the handler of the current request."""
         self._stop_timer()
         handler, self._handler = self._handler, None
         if handler is not None:
             handler.caller_gone()
-        # Last, since a stopping process ends with its last connection.
-        self._site.forget(self)
+        # Must come last: a stopping process exits when its last connection is closed.
+        self._factory.forget(self)
 
     def pauseProducing(self) -> None:
-        """The caller takes the answer slowly."""
+        """Pause the handler: the transport's write buffer is full."""
         if self._handler is not None:
             self._handler.set_reading(False)
 
     def resumeProducing(self) -> None:
-        """The caller takes the answer again."""
+        """Resume the handler: the transport's write buffer has drained."""
         if self._handler is not None:
             self._handler.set_reading(True)
 
     def stopProducing(self) -> None:
-        """The connection is gone; `connectionLost` follows."""
+        """Do nothing: `connectionLost` is called next."""
 
-    # What the request's task calls.
+    # Called by the task that handles the request.
 
     def send_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Begin the answer."""
-        if self._last_answer:
+        """Send the head of the response."""
+        if self._is_last_response:
             headers = [*headers, (b"connection", b"close")]
         self._send(h11.Response(status_code=status, headers=headers))
 
     def send_data(self, data: bytes) -> None:
-        """Send a part of the answer's body."""
+        """Send a part of the response's body."""
         if data:
             self._send(h11.Data(data=data))
 
     def end_answer(self) -> None:
-        """Complete the answer and go on with the next request."""
+        """Complete the response and continue with the next request."""
         self._send(h11.EndOfMessage())
         self._handler = None
-        self._answers += 1
-        if self._http.our_state is h11.MUST_CLOSE or self._last_answer:
+        self._responses += 1
+        if self._http.our_state is h11.MUST_CLOSE or self._is_last_response:
             self._close()
             return
         try:
@@ -131,26 +131,27 @@
             return
         self._read_ahead = 0
         self.transport.resumeProducing()
-        self._wait(self._limits.idle_time_s, self._idle_too_long)
+        self._set_timer(self._limits.idle_time_s, self._on_idle_timeout)
         if not self._dispatching:
             self._parse()
 
     @property
-    def _last_answer(self) -> bool:
-        """Whether the connection ends with the answer under way."""
-        return self._closing or self._site.draining or not self._site.keep
+    def _is_last_response(self) -> bool:
+        """Whether the connection closes after the current response."""
+        return self._closing or self._factory.draining or not self._factory.keep
 
     def abort_answer(self) -> None:
-        """Break the answer off so that it can't look complete."""
+        """Abort the connection, so that the response cannot be mistaken for a complete one."""
         self._handler = None
         self.transport.abortConnection()
 
     def close_if_idle(self) -> None:
-        """Close now if no request has begun; the factory's `draining` ends it after the one begun.
+        """Close the connection unless a request has begun.
 
-        A request that is half read is read on and served: it counts as accepted.
+        A request that is partly read counts as accepted and is served. The factory's `draining`
+        closes the connection afterwards.
         """
-        if self._handler is None and self._request is None and not self._header_begun:
+        if self._handler is None and self._request is None and not self._header_started:
             self._close()
 
     # Parsing.
@@ -164,14 +165,14 @@
                 return
             match event:
                 case h11.Request():
-                    self._begin(event)
+                    self._start_request(event)
                 case h11.Data(data=data):
                     self._body.append(bytes(data))
                     self._body_bytes += len(data)
                     if self._body_bytes > self._limits.body_bytes:
                         self._refuse(413, "the body is too long")
                         return
-                    self._wait(self._limits.idle_time_s, self._body_too_slow)
+                    self._set_timer(self._limits.idle_time_s, self._on_body_timeout)
                 case h11.EndOfMessage():
                     self._dispatch()
                 case h11.ConnectionClosed():
@@ -180,24 +181,24 @@
                 case h11.PAUSED:
                     return
                 case h11.NEED_DATA:
-                    self._note_waiting()
+                    self._await_data()
                     return
 
-    def _note_waiting(self) -> None:
+    def _await_data(self) -> None:
         if self._request is None:
             begun = bool(self._http.trailing_data[0])
-            if begun and not self._header_begun:
-                self._header_begun = True
-                self._wait(self._limits.header_time_s, self._header_too_slow)
+            if begun and not self._header_started:
+                self._header_started = True
+                self._set_timer(self._limits.header_time_s, self._on_header_timeout)
         elif self._http.they_are_waiting_for_100_continue:
             self._send(h11.InformationalResponse(status_code=100, headers=[]))
 
-    def _begin(self, req: h11.Request) -> None:
-        self._limits = self._site.limits()
+    def _start_request(self, req: h11.Request) -> None:
+        self._limits = self._factory.limits()
         self._request = req
         self._arrived_s = self._clock.seconds()
-        self._header_begun = False
-        self._wait(self._limits.idle_time_s, self._body_too_slow)
+        self._header_started = False
+        self._set_timer(self._limits.idle_time_s, self._on_body_timeout)
         names = [name for name, _ in req.headers]
         head_bytes = len(req.target) + sum(len(n) + len(v) + 4 for n, v in req.headers)
         if req.method == b"CONNECT":
@@ -221,20 +222,20 @@
             self._arrived_s,
             has_body,
         )
-        answered = self._answers
+        responses_before = self._responses
         self._dispatching = True
-        handler = self._site.handle(request, self)
+        handler = self._factory.handle(request, self)
         self._dispatching = False
-        if self._answers == answered:
+        if self._responses == responses_before:
             self._handler = handler
 
-    # Ends.
+    # Closing.
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Answer a request that cannot be read, and close."""
+        """Respond to a malformed request with an error, and close."""
         _log.info("request refused", extra={"status": status, "reason": reason})
         if self._handler is not None:
-            # Bytes after a request that is still at work: its answer goes out, nothing more.
+            # The malformed bytes follow a request in progress: complete its response, then close.
             self._closing = True
             return
         text = reason.encode("latin-1", "replace")
@@ -254,57 +255,57 @@
         try:
             data = self._http.send(event)
         except h11.LocalProtocolError as exc:
-            _log.error("answer cannot be sent", extra={"reason": str(exc)})
+            _log.error("cannot send response", extra={"reason": str(exc)})
             self.abort_answer()
             return
         if data:
             self.transport.write(data)
 
-    # Time limits.
+    # Timeouts.
 
-    def _wait(self, limit_s: float, on_end: Callable[[], None]) -> None:
+    def _set_timer(self, limit_s: float, on_timeout: Callable[[], None]) -> None:
         self._stop_timer()
-        self._timer = self._clock.callLater(limit_s, on_end)
+        self._timer = self._clock.callLater(limit_s, on_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
-    def _idle_too_long(self) -> None:
+    def _on_idle_timeout(self) -> None:
         self._timer = None
         if self._handler is None:
             self._close()
 
-    def _header_too_slow(self) -> None:
+    def _on_header_timeout(self) -> None:
         self._timer = None
         self._refuse(408, "the head of the request did not come in time")
 
-    def _body_too_slow(self) -> None:
+    def _on_body_timeout(self) -> None:
         self._timer = None
         self._refuse(408, "the body of the request did not come in time")
 
 
 class CallerFactory(protocol.Factory):
-    """Makes the connections of callers.
+    """Creates the connections of callers.
 
     Parameters
     ----------
     clock : IReactorTime
-        For time limits.
+        For timeouts.
     limits : callable
-        Returns the `CallerLimits` in force.
+        Returns the current `CallerLimits`.
     handle : callable
-        Takes a `CallerRequest` and its `CallerConnection`; returns the `RequestHandler`.
+        Called with a `CallerRequest` and its `CallerConnection`; returns the `RequestHandler`.
     keep : bool
-        Whether a connection carries more than one request.
+        Whether connections are kept open for further requests.
 
     Attributes
     ----------
     draining : bool
-        Whether answers ask callers to close their connections.
+        If true, connections close after their current response.
     connections : set of CallerConnection
-        The open ones.
+        The open connections.
     """
 
     noisy = False
@@ -325,11 +326,11 @@
         self._all_closed: list[defer.Deferred[None]] = []
 
     def buildProtocol(self, _addr) -> CallerConnection:
-        """Make the connection of one caller."""
+        """Create the connection of one caller."""
         return CallerConnection(self._clock, self)
 
     def forget(self, conn: CallerConnection) -> None:
-        """Note that a connection is closed."""
+        """Remove a closed connection."""
         self.connections.discard(conn)
         if not self.connections:
             waiting, self._all_closed = self._all_closed, []
@@ -337,13 +338,13 @@
                 closed.callback(None)
 
     def when_all_closed(self) -> defer.Deferred[None]:
-        """Return a deferred that fires when no connection is open any more."""
+        """Return a deferred that fires when all connections are closed."""
         closed: defer.Deferred[None] = defer.Deferred(self._all_closed.remove)
         self._all_closed.append(closed)
         return closed
 
     def close_idle(self) -> None:
-        """Close connections without a request, and the others after theirs."""
+        """Close idle connections now, and the others after their current response."""
         self.draining = True
         for conn in tuple(self.connections):
             conn.close_if_idle()
--- a/gladedrum/connections/calls.py
+++ b/gladedrum/connections/calls.py
@@ -1,4 +1,4 @@
-"""Short calls to targets, over the same connections as requests."""
+"""Short calls to targets (reports and orders), over the same pool as requests."""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -14,52 +14,52 @@
 
 __all__ = ["CallAnswer", "call_target"]
 
-_LONGEST_ANSWER = 1_000_000
+_MAX_REPLY_BYTES = 1_000_000
 
 
 class CallAnswer(NamedTuple):
-    """The status and body of an answer."""
+    """The status and body of a target's reply."""
 
     status: int
     body: bytes
 
     @property
     def ok(self) -> bool:
-        """Whether the target did what it was asked."""
+        """Whether the call succeeded."""
         return HTTPStatus.OK <= self.status < HTTPStatus.MULTIPLE_CHOICES
 
 
 async def call_target(
     clock: IReactorTime, pool: TargetPool, entry: TargetEntry, call: TargetCall, timeout_s: float
 ) -> CallAnswer:
-    """Make a call and return its whole answer.
+    """Make a call and return the complete reply.
 
     Raises
     ------
     TargetLeftAloneError
-        If it has asked not to get such a call.
+        If the target has asked not to receive this kind of call; nothing was sent.
     TargetNotListeningError
-        If its address refuses connections.
+        If the target's address refuses connections.
     TargetBrokenError
-        If no whole answer came in time; an order may have been taken all the same.
+        If no complete reply came in time; an order may still have taken effect.
     """
-    mail = Mailbox(clock)
+    mailbox = Mailbox(clock)
     host = [(b"host", f"{entry.host}:{entry.port}".encode())]
     head = RequestHead(call.method, call.path, host + call.headers)
-    exchange = pool.begin(entry, call.kind, lambda: head, call.body, "", True, mail.put)
-    until_s = clock.seconds() + timeout_s
-    status, parts = 0, []
+    exchange = pool.begin(entry, call.kind, lambda: head, call.body, "", True, mailbox.put)
+    deadline_s = clock.seconds() + timeout_s
+    status, chunks = 0, []
     try:
         while True:
-            match await mail.get(until_s):
+            match await mailbox.get(deadline_s):
                 case AnswerHead(status=status):
                     pass
                 case AnswerData(data=data):
-                    parts.append(data)
-                    if sum(map(len, parts)) > _LONGEST_ANSWER:
-                        raise TargetBrokenError(f"{entry.name}: the answer is too long")
+                    chunks.append(data)
+                    if sum(map(len, chunks)) > _MAX_REPLY_BYTES:
+                        raise TargetBrokenError(f"{entry.name}: the reply is too long")
                 case AnswerEnd():
-                    return CallAnswer(status, b"".join(parts))
+                    return CallAnswer(status, b"".join(chunks))
                 case AnswerBroken(withheld=True, reason=reason):
                     raise TargetLeftAloneError(f"{entry.name}: {reason}")
                 case AnswerBroken(refused=True, reason=reason):
@@ -67,6 +67,6 @@
                 case AnswerBroken(reason=reason):
                     raise TargetBrokenError(f"{entry.name}: {reason}")
                 case TimeIsUp():
-                    raise TargetBrokenError(f"{entry.name}: no answer within {timeout_s} s")
+                    raise TargetBrokenError(f"{entry.name}: no reply within {timeout_s} s")
     finally:
         exchange.give_up()
--- a/gladedrum/connections/events.py
+++ b/gladedrum/connections/events.py
@@ -1,4 +1,4 @@
-"""Splitting of an event stream into whole events.
+"""Splitting of a server-sent event stream into complete events.
 
 Examples
 --------
@@ -19,20 +19,20 @@
 
 
 class Event(NamedTuple):
-    """One event: its id, None if it has none, and its bytes with the blank line."""
+    """An event's id (None if it has none), and its bytes including the blank line at the end."""
 
     event_id: bytes | None
     raw: bytes
 
 
 class EventSplitter:
-    """Collects the bytes of a stream and returns events as they become whole."""
+    """Buffers the bytes of a stream and returns events once they are complete."""
 
     def __init__(self) -> None:
         self.rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Add bytes; return the events that are whole now."""
+        """Add bytes; return the events that are now complete."""
         self.rest += data
         events = []
         while end := _EVENT_END.search(self.rest):
@@ -43,7 +43,7 @@
 
 
 def is_newer(event_id: bytes | None, than: bytes | None) -> bool:
-    """Whether an event comes after another; ids are whole numbers, others count as newer.
+    """Whether an event follows another by its id; an event without a numeric id counts as newer.
 
     Examples
     --------
--- a/gladedrum/connections/messages.py
+++ b/gladedrum/connections/messages.py
@@ -1,4 +1,4 @@
-"""The messages that a request's task gets, and the mailbox that holds them."""
+"""The messages that the task of a request receives, and the mailbox that queues them."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class CallerRequest:
-    """A whole request as a caller sent it.
+    """A complete request as the caller sent it.
 
     Parameters
     ----------
     method, target : bytes
-        As in HTTP.
+        The method and the request target (path and query) of HTTP.
     headers : list of (bytes, bytes)
         Names in lower case.
     body : bytes
-        All of it.
+        The complete body.
     arrived_s : float
-        When its head had come, by the monotonic clock.
+        When the head was received, by the monotonic clock.
     has_body : bool
         Whether its headers announced a body, which may be empty.
     """
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """The status and headers of a target's answer; `attempt` tells to which try it belongs."""
+    """The status and headers of a target's response; `attempt` is the number of the attempt."""
 
     attempt: int
     status: int
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerData:
-    """Bytes of the body of an answer."""
+    """Bytes of a response's body."""
 
     attempt: int
     data: bytes
@@ -65,29 +65,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """The body of an answer is complete."""
+    """The response is complete."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerBroken:
-    """No whole answer comes any more.
+    """The response failed and will not be completed.
 
     Parameters
     ----------
     attempt : int
-        The try that it belongs to.
+        The number of the attempt.
     reason : str
-        What happened.
+        What happened, for logs.
     sent : bool
-        Whether any byte of the request can have reached the target.
+        Whether any byte of the request may have reached the target.
     unreachable : bool
-        Whether the target took no connection.
+        Whether no connection to the target could be made.
     refused : bool
-        Whether its address refused it: no process listens there.
+        Whether the target's address refused the connection: no process listens there.
     withheld : bool
-        Whether it was not sent since what allowed it does not hold any more.
+        Whether the request was not sent because it was no longer allowed.
     """
 
     attempt: int
@@ -105,12 +105,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeIsUp:
-    """The wait for a message is over."""
+    """No message arrived before the deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class SearchEnded:
-    """The search for a further target is over; the task that began it has the result."""
+    """The search for another target has finished; the task that started it holds the result."""
 
 
 Message = AnswerHead | AnswerData | AnswerEnd | AnswerBroken | CallerGone | SearchEnded | TimeIsUp
@@ -118,12 +118,12 @@
 
 @dataclass(slots=True)
 class Mailbox:
-    """The messages for one task, in order.
+    """A first-in, first-out queue of messages for one task.
 
     Parameters
     ----------
     clock : IReactorTime
-        For waits with a bound.
+        For timeouts.
     """
 
     clock: IReactorTime
@@ -137,14 +137,14 @@
         if waiting is not None:
             waiting.callback(None)
 
-    async def get(self, until_s: float) -> Message:
-        """Return the next message, or `TimeIsUp` if none comes until `until_s` on the clock."""
+    async def get(self, deadline_s: float) -> Message:
+        """Return the next message, or `TimeIsUp` if none arrives before `deadline_s`."""
         if not self._messages:
-            left_s = until_s - self.clock.seconds()
-            if left_s <= 0:
+            timeout_s = deadline_s - self.clock.seconds()
+            if timeout_s <= 0:
                 return TimeIsUp()
             self._waiting = waiting = defer.Deferred()
-            call = self.clock.callLater(left_s, self.put, TimeIsUp())
+            call = self.clock.callLater(timeout_s, self.put, TimeIsUp())
             try:
                 await waiting
             finally:
--- a/gladedrum/connections/target_pool.py
+++ b/gladedrum/connections/target_pool.py
@@ -1,4 +1,9 @@
-"""Connections to targets, kept for the next request where that is safe."""
+"""The pool of connections to targets.
+
+Connections are reused where that is safe. A kept connection may turn out to be closed only after a
+request was sent on it; requests that must not be sent twice therefore use only connections that
+were idle for a short time.
+"""
 
 import itertools
 from collections import defaultdict
@@ -20,67 +25,68 @@
 __all__ = ["NotNowError", "TargetGate", "TargetPool"]
 
 CONNECT_TIMEOUT_S = 0.8
-"""How long a connection to a target may take, in seconds; a sound one takes milliseconds."""
+"""The timeout for connecting to a target, in seconds; a healthy one accepts in milliseconds."""
 
-KEPT_IDLE_ONCE_S = 0.25
-"""As `target_conn.KEPT_IDLE_S`, for requests that can't be sent again if the connection proves
-closed."""
+IDLE_LIMIT_NON_REPEATABLE_S = 0.25
+"""As `target_conn.IDLE_LIMIT_S`, for requests that must not be sent again."""
 
-KEPT_A_TARGET = 12
-"""The most idle connections that are kept to one target."""
+MAX_IDLE_PER_TARGET = 12
+"""The maximum number of idle connections to one target."""
 
 
 class NotNowError(GladedrumError):
-    """What allowed a request to be sent does not hold any more."""
+    """A condition for sending a request no longer holds."""
 
 
 class TargetGate(Interface):
-    """What all that goes to targets passes, and what their answers say of them."""
+    """Authorizes everything that is sent to targets, and receives the statements in responses."""
 
     def let_out(self, target: str, kind: CallKind) -> int:
-        """Return the start of a target that is known, right before something is sent to it.
+        """Return the target's known start time; called right before each send.
 
-        Raises `NotNowError` if it is not to get that.
+        Raises `NotNowError` if the target must not get this kind of message.
         """
 
-    def note_answer(self, target: str, born: int, said: Statements, sent_s: float) -> None:
-        """Take what an answer says of its target.
+    def note_answer(self, target: str, born: int, statements: Statements, sent_s: float) -> None:
+        """Process what a response states about its target.
 
-        `born` is what `let_out` returned for it, `sent_s` when that was, by the clock.
+        `born` is what `let_out` returned for the request, and `sent_s` the time of that call.
         """
 
 
-class _OpenGate:
-    """Lets everything out, and hears nothing."""
+class _AllowAllGate:
+    """Authorizes everything and ignores statements."""
 
     def let_out(self, _target: str, _kind: CallKind) -> int:
         return 0
 
-    def note_answer(self, target: str, born: int, said: Statements, sent_s: float) -> None:
+    def note_answer(self, target: str, born: int, statements: Statements, sent_s: float) -> None:
         pass
 
 
 class TargetPool:
-    """Opens connections to targets and keeps idle ones.
+    """Opens connections to targets and keeps idle ones for reuse.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where connections and timers live.
+        For connections and timers.
 
     Attributes
     ----------
+    opened : int
+        The number of connections opened so far.
     gate : TargetGate
-        What all that is sent passes right before it goes out, also what has waited for a
-        connection: it is the arrival that counts, not the choice.
+        Asked right before each send, also after a wait for a connection, because the conditions may
+        have changed since the target was chosen.
     """
 
     def __init__(self, reactor: IReactorTime):
         self._reactor = reactor
         self._idle: dict[tuple[str, int], list[TargetConnection]] = defaultdict(list)
-        self._attempts = itertools.count(1)
+        self._attempt_numbers = itertools.count(1)
         self.opened = 0
-        self.gate: TargetGate = _OpenGate()
+        self.gate: TargetGate = _AllowAllGate()
 
     def begin(
         self,
@@ -90,7 +96,7 @@
         body: bytes,
         request_id: str,
         repeatable: bool,
-        tell: Callable[[Message], None],
+        deliver: Callable[[Message], None],
     ) -> Exchange:
         """Send a request on an idle connection or a new one.
 
@@ -99,48 +105,48 @@
         entry : TargetEntry
             The target.
         kind : CallKind
-            What is sent.
+            The kind of message.
         make_head : callable
-            Called right before the bytes go out, since the process may have stood still after
+            Called right before the bytes are sent, since the process may have been suspended after
             the decision; returns the head or raises `NotNowError`.
         body : bytes
             The request's body.
         request_id : str
-            Its id.
+            The request's id.
         repeatable : bool
-            Whether it may be sent again if a kept connection proves to be closed.
-        tell : callable
-            Takes the messages of the answer.
+            Whether it may be sent again if a kept connection turns out to be closed.
+        deliver : callable
+            Called with the messages of the response.
         """
-        place = (entry.host, entry.port)
-        exchange = Exchange(next(self._attempts), request_id, entry.name, tell)
-        conn = self._take_idle(place, repeatable)
+        address = (entry.host, entry.port)
+        exchange = Exchange(next(self._attempt_numbers), request_id, entry.name, deliver)
+        conn = self._pop_idle(address, repeatable)
         if conn is not None:
             self._send(conn, exchange, kind, make_head, body)
             return exchange
         self.opened += 1
-        endpoint = TCP4ClientEndpoint(self._reactor, *place, timeout=CONNECT_TIMEOUT_S)
-        factory = protocol.Factory.forProtocol(lambda: TargetConnection(self, place))
+        endpoint = TCP4ClientEndpoint(self._reactor, *address, timeout=CONNECT_TIMEOUT_S)
+        factory = protocol.Factory.forProtocol(lambda: TargetConnection(self, address))
         factory.noisy = False
         connecting = endpoint.connect(factory)
 
-        def connected(conn: TargetConnection) -> None:
+        def on_connected(conn: TargetConnection) -> None:
             if exchange.over:
                 conn.abort()
             else:
                 self._send(conn, exchange, kind, make_head, body)
 
-        def failed(failure) -> None:
+        def on_failed(failure) -> None:
             reason = f"cannot connect: {failure.getErrorMessage()}"
             refused = bool(failure.check(ConnectionRefusedError))
-            exchange.tell(AnswerBroken(exchange.attempt, reason, False, True, refused))
+            exchange.deliver(AnswerBroken(exchange.attempt, reason, False, True, refused))
 
-        connecting.addCallbacks(connected, failed)
+        connecting.addCallbacks(on_connected, on_failed)
         return exchange
 
-    async def is_listening(self, place: tuple[str, int]) -> bool | None:
-        """Return whether a process takes connections at a place; None if that can't be told."""
-        endpoint = TCP4ClientEndpoint(self._reactor, *place, timeout=CONNECT_TIMEOUT_S)
+    async def is_listening(self, address: tuple[str, int]) -> bool | None:
+        """Return whether a process accepts connections at an address; None if unknown."""
+        endpoint = TCP4ClientEndpoint(self._reactor, *address, timeout=CONNECT_TIMEOUT_S)
         factory = protocol.Factory.forProtocol(protocol.Protocol)
         factory.noisy = False
         try:
@@ -165,46 +171,46 @@
             exchange.born = self.gate.let_out(exchange.target, kind)
         except NotNowError as exc:
             conn.abort()
-            # Told in a later turn, as all messages are: the caller of `begin` has no exchange yet.
+            # Delivered in a later turn of the reactor: the caller of `begin` has no exchange yet.
             broken = AnswerBroken(exchange.attempt, str(exc), sent=False, withheld=True)
-            self._reactor.callLater(0, exchange.tell, broken)
+            self._reactor.callLater(0, exchange.deliver, broken)
             return
         exchange.sent_s = self._reactor.seconds()
         conn.begin(exchange, head, body)
 
-    def note_answer(self, exchange: Exchange, said: Statements) -> None:
-        """Take what the head of an answer says of its target."""
-        self.gate.note_answer(exchange.target, exchange.born, said, exchange.sent_s)
+    def note_answer(self, exchange: Exchange, statements: Statements) -> None:
+        """Pass a response's statements about its target to the gate."""
+        self.gate.note_answer(exchange.target, exchange.born, statements, exchange.sent_s)
 
-    def keep(self, place: tuple[str, int], conn: TargetConnection) -> None:
-        """Keep a connection for the next request."""
+    def keep(self, address: tuple[str, int], conn: TargetConnection) -> None:
+        """Keep an idle connection for the next request."""
         conn.idle_since_s = self._reactor.seconds()
-        idle = self._idle[place]
+        idle = self._idle[address]
         idle.append(conn)
-        if len(idle) > KEPT_A_TARGET:
+        if len(idle) > MAX_IDLE_PER_TARGET:
             idle.pop(0).abort()
 
-    def forget(self, place: tuple[str, int], conn: TargetConnection) -> None:
-        """Drop a connection that can't be used."""
-        if conn in self._idle.get(place, ()):
-            self._idle[place].remove(conn)
+    def forget(self, address: tuple[str, int], conn: TargetConnection) -> None:
+        """Remove a connection that cannot be reused."""
+        if conn in self._idle.get(address, ()):
+            self._idle[address].remove(conn)
 
-    def forget_place(self, place: tuple[str, int]) -> None:
-        """Close the idle connections to a target that is gone."""
-        for conn in self._idle.pop(place, []):
+    def forget_place(self, address: tuple[str, int]) -> None:
+        """Close the idle connections to a target that was removed."""
+        for conn in self._idle.pop(address, []):
             conn.abort()
 
     def connected(self, repeatable: bool) -> set[tuple[str, int]]:
-        """Return the places to which an idle connection is kept that a request may use now."""
+        """Return the addresses with an idle connection that a request may use now."""
         now_s = self._reactor.seconds()
         return {
-            place
-            for place, idle in self._idle.items()
+            address
+            for address, idle in self._idle.items()
             if idle and now_s - idle[-1].idle_since_s <= _idle_limit_s(idle[-1], repeatable)
         }
 
-    def _take_idle(self, place: tuple[str, int], repeatable: bool) -> TargetConnection | None:
-        idle = self._idle[place]
+    def _pop_idle(self, address: tuple[str, int], repeatable: bool) -> TargetConnection | None:
+        idle = self._idle[address]
         now_s = self._reactor.seconds()
         while idle:
             conn = idle.pop()
@@ -213,11 +219,11 @@
             if repeatable:
                 conn.abort()
             else:
-                # Still good for a request that may be sent again.
+                # A repeatable request may still use it.
                 idle.append(conn)
                 return None
         return None
 
 
 def _idle_limit_s(conn: TargetConnection, repeatable: bool) -> float:
-    return conn.idle_limit_s if repeatable else min(KEPT_IDLE_ONCE_S, conn.idle_limit_s)
+    return conn.idle_limit_s if repeatable else min(IDLE_LIMIT_NON_REPEATABLE_S, conn.idle_limit_s)
--- a/gladedrum/connections/tests/test_pool.py
+++ b/gladedrum/connections/tests/test_pool.py
@@ -1,6 +1,6 @@
-"""Connections to targets are kept only in a state in which the next answer can be read."""
+"""Pooled connections to targets stay usable, and busy ones are not closed."""
 
-from gladedrum.connections.target_pool import KEPT_A_TARGET
+from gladedrum.connections.target_pool import MAX_IDLE_PER_TARGET
 from gladedrum.forward.tests.support import World, answer, chunk, event, stream_head
 
 
@@ -11,9 +11,9 @@
     )  # fmt: skip
 
 
-def test_a_connection_paused_for_a_slow_caller_is_read_again_by_the_next_request():
-    """The end of an answer came in the bytes that made its caller's buffer full: the connection
-    was kept while its reading was stopped, and the next answer on it was never read."""
+def test_connection_paused_for_a_slow_caller_is_resumed_for_the_next_request():
+    """The last bytes of a response may fill the caller's buffer and pause reading; a connection
+    kept in this state would never deliver the next response."""
     world = stream_world()
     slow = world.caller()
     slow.ask(b"body")
@@ -26,15 +26,15 @@
     assert side.wire.producerState == "producing"
 
 
-def test_what_is_under_way_outlives_its_targets_entry_and_a_full_pool():
-    """Only idle connections are closed when a target leaves the list, or too many are kept."""
+def test_busy_connection_stays_open_when_its_target_is_unlisted_or_the_pool_is_full():
+    """Only idle connections are closed when a target leaves the list or the pool is full."""
     world = stream_world()
     caller = world.caller()
     caller.ask(b"body")
     side = world.attempt()
     side.reply(stream_head() + chunk(event(1)))
     world.ctx.pool.forget_place(side.place)
-    others = [world.caller() for _ in range(KEPT_A_TARGET + 2)]
+    others = [world.caller() for _ in range(MAX_IDLE_PER_TARGET + 2)]
     for other in others:
         other.ask(b"body")
     for used in world.net.opened[1:]:
--- a/gladedrum/platform/__init__.py
+++ b/gladedrum/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the users' platform: names, formats and calls. Nothing here decides.
+"""The adapter to the operators' platform: its names, formats and calls, without any policy.
 
-The rest of the product knows none of the names in `wire`; a test reads the tree for them.
+No other package may spell out the names in `wire`; `tests/test_words.py` checks this.
 """
 
 from .directory import *
--- a/gladedrum/platform/codecs.py
+++ b/gladedrum/platform/codecs.py
@@ -1,4 +1,8 @@
-"""Decoding of what the operator and the targets write, into the product's own types."""
+"""Decoders for the operator's configuration and for entries, reports and replies of targets.
+
+All raise `MalformedError` for bytes that do not follow the platform's formats, except
+`decode_born`. The `msgspec` structs mirror the JSON; callers get this package's own types.
+"""
 
 import ipaddress
 import re
@@ -14,26 +18,26 @@
 __all__ = ["MalformedError", "decode_born", "decode_configuration", "decode_report"]
 __all__ += ["decode_target"]
 
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 _NAME = re.compile(r"[!-+\-.0-~]{1,200}")
-"""Names of targets: they stand in headers and in keys of the store, so neither a comma nor a slash
-nor a space, nor more than a key may have."""
+"""Valid names of targets. Names appear in headers and in keys of the store, so commas, slashes and
+spaces are not allowed, and the length is limited."""
 
-_LARGEST_PORT = 65_535
+_MAX_PORT = 65_535
 
-_MOST_SLOTS = 10_000
-"""More requests at once than any engine works on; an entry with more is not a target's own."""
+_MAX_SLOTS = 10_000
+"""Upper limit of concurrent requests; an entry with more was not written by a target."""
 
-_Whole = Annotated[int, msgspec.Meta(ge=0)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 _UnixMs = Annotated[int, msgspec.Meta(ge=0, le=10**14)]
-"""Milliseconds since 1970; more than 3,000 years are no time at which a target has started, and
-would make all that it says of itself look old."""
+"""Milliseconds since 1970. A start time far in the future would make every statement of the target
+look older than its process, so it is rejected."""
 
 
 class MalformedError(GladedrumError):
-    """Bytes from the platform or a target are not what its protocol says."""
+    """Bytes from the platform or a target do not follow the protocol."""
 
 
 class _Share(msgspec.Struct):
@@ -54,11 +58,11 @@
     max_attempts: int = 1
     allow_anonymous: bool = False
     resumable: bool = False
-    # The one name of a route that the platform does not write in camel case.
+    # The only key of a route that the platform does not write in camel case.
     gap_aim_ms: float = msgspec.field(default=1_000.0, name="gap_aim_ms")
 
 
-class _Usual(msgspec.Struct):
+class _Typical(msgspec.Struct):
     answer: float = EngineTraits().usual_answer
 
 
@@ -69,14 +73,14 @@
     step_ms: float = 1.0
     per_seq_ms: float = 0.0
     context_per_k: float = 0.0
-    """Milliseconds a step for each 1,000 tokens of context."""
+    """Milliseconds per decoding step and 1,000 tokens of context."""
     read_per_s: float = 200_000.0
     pairs_per_m: float = 0.0
-    """Milliseconds for each million pairs."""
+    """Prefill: milliseconds per million pairs of a token and an earlier one."""
     chunk: int = 2048
     report_lag_ms: float = 200.0
     hop_ms: float = 0.0
-    usual: _Usual = msgspec.field(default_factory=_Usual)
+    usual: _Typical = msgspec.field(default_factory=_Typical)
 
 
 class _Service(msgspec.Struct):
@@ -87,8 +91,8 @@
 class _Limits(msgspec.Struct, rename="camel"):
     max_header_bytes: int = CallerLimits().header_bytes
     max_body_bytes: int = CallerLimits().body_bytes
-    header_timeout_ms: float = CallerLimits().header_time_s * _MS
-    idle_timeout_ms: float = CallerLimits().idle_time_s * _MS
+    header_timeout_ms: float = CallerLimits().header_time_s * _MS_PER_S
+    idle_timeout_ms: float = CallerLimits().idle_time_s * _MS_PER_S
 
 
 class _Tenant(msgspec.Struct, rename="camel"):
@@ -106,22 +110,22 @@
 
 
 class _Entry(msgspec.Struct, rename="camel"):
-    """A target's own entry in the store.
+    """A target's entry in the store.
 
-    Other writers leave entries there too, so all fields are checked that a target writes, also
-    those that say nothing that is used.
+    Other programs may write under the same prefix. All fields that a target writes are therefore
+    validated, including the unused ones.
     """
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     zone: str
     version: str
-    slots: Annotated[int, msgspec.Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, msgspec.Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
     cold_left_ms: Annotated[float, msgspec.Meta(ge=0)]
-    seq: _Whole
+    seq: _NonNegativeInt
     born: _UnixMs = 0
-    """Unix milliseconds of the start of its process; 0 if it does not say."""
+    """Start time of the target's process, in Unix milliseconds; 0 if unknown."""
 
 
 class _Ticket(msgspec.Struct):
@@ -138,20 +142,20 @@
     pace: float = 1.0
     tickets: list[_Ticket] = []
     born: _UnixMs = 0
-    """As in an entry."""
+    """As in `_Entry`."""
 
 
-class _OrderAnswer(msgspec.Struct):
-    """A target's answer to an order."""
+class _OrderReply(msgspec.Struct):
+    """A target's reply to a reserve or release order."""
 
     born: _UnixMs = 0
-    """As in an entry."""
+    """As in `_Entry`."""
 
 
 _configuration = msgspec.json.Decoder(_Configuration)
 _entry = msgspec.json.Decoder(_Entry)
 _report = msgspec.json.Decoder(_Report)
-_order_answer = msgspec.json.Decoder(_OrderAnswer)
+_order_reply = msgspec.json.Decoder(_OrderReply)
 
 
 def decode_configuration(raw: bytes) -> RouteTable:
@@ -167,16 +171,16 @@
         limits=CallerLimits(
             cfg.limits.max_header_bytes,
             cfg.limits.max_body_bytes,
-            cfg.limits.header_timeout_ms / _MS,
-            cfg.limits.idle_timeout_ms / _MS,
+            cfg.limits.header_timeout_ms / _MS_PER_S,
+            cfg.limits.idle_timeout_ms / _MS_PER_S,
         ),
     )
 
 
 def decode_target(name: str, raw: bytes) -> TargetEntry:
-    """Decode a target's entry in the list; raises `MalformedError`."""
+    """Decode a target's entry in the store; raises `MalformedError`."""
     if not _NAME.fullmatch(name):
-        raise MalformedError(f"{name!r} is no name of a target")
+        raise MalformedError(f"{name!r} is not a valid target name")
     row = _decode(_entry, raw)
     host, port = _address(row.address)
     leaving = row.state != "ready"
@@ -184,7 +188,7 @@
 
 
 def decode_report(raw: bytes) -> TargetReport:
-    """Decode a target's report on its load; raises `MalformedError`."""
+    """Decode a target's load report; raises `MalformedError`."""
     row = _decode(_report, raw)
     return TargetReport(
         waiting=row.waiting,
@@ -198,22 +202,22 @@
 
 
 def decode_born(raw: bytes) -> int:
-    """Return which start of a target has answered an order, 0 if it does not say."""
+    """Return the process start time in a target's reply to an order, 0 if it has none."""
     try:
-        return _decode(_order_answer, raw).born
+        return _decode(_order_reply, raw).born
     except MalformedError:
         return 0
 
 
 def _address(text: str) -> tuple[str, int]:
-    """Return the IP number and the port in IP:PORT; raises `MalformedError`."""
+    """Split IP:PORT into host and port; raises `MalformedError`."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError as exc:
-        raise MalformedError(f"the address {text!r} is not IP:PORT: {exc}") from exc
-    if not (port.isascii() and port.isdecimal() and 0 < int(port) <= _LARGEST_PORT):
-        raise MalformedError(f"the address {text!r} is not IP:PORT: no such port")
+        raise MalformedError(f"address {text!r} is not IP:PORT: {exc}") from exc
+    if not (port.isascii() and port.isdecimal() and 0 < int(port) <= _MAX_PORT):
+        raise MalformedError(f"address {text!r} is not IP:PORT: invalid port")
     return host, int(port)
 
 
@@ -234,9 +238,9 @@
         repeatable=row.kind == "safe",
         streaming=row.kind == "streaming",
         resumable=row.resumable,
-        time_limit_s=row.timeout_ms / _MS,
-        objective_s=row.latency_target_ms / _MS,
-        pause_objective_s=row.gap_aim_ms / _MS,
+        time_limit_s=row.timeout_ms / _MS_PER_S,
+        objective_s=row.latency_target_ms / _MS_PER_S,
+        pause_objective_s=row.gap_aim_ms / _MS_PER_S,
         rank=row.priority,
         max_targets=row.max_attempts,
         anonymous=row.allow_anonymous,
@@ -249,14 +253,14 @@
     return EngineTraits(
         slots=row.slots,
         memory_tokens=row.kv_capacity_tokens,
-        step_s=row.step_ms / _MS,
-        per_writer_s=row.per_seq_ms / _MS,
-        per_context_token_s=row.context_per_k / _MS / 1000,
+        step_s=row.step_ms / _MS_PER_S,
+        per_writer_s=row.per_seq_ms / _MS_PER_S,
+        per_context_token_s=row.context_per_k / _MS_PER_S / 1000,
         read_tokens_per_s=row.read_per_s,
-        per_pair_s=row.pairs_per_m / _MS / 1e6,
+        per_pair_s=row.pairs_per_m / _MS_PER_S / 1e6,
         chunk=row.chunk,
         stride=row.stride,
-        hop_s=row.hop_ms / _MS,
-        report_lag_s=row.report_lag_ms / _MS,
+        hop_s=row.hop_ms / _MS_PER_S,
+        report_lag_s=row.report_lag_ms / _MS_PER_S,
         usual_answer=row.usual.answer,
     )
--- a/gladedrum/platform/directory.py
+++ b/gladedrum/platform/directory.py
@@ -1,4 +1,8 @@
-"""The platform's lagging list of live and leaving boxes and targets."""
+"""Client of the platform's directory, the list of boxes and targets.
+
+The list may lag behind the true state by some seconds. It includes boxes and targets that are
+leaving, that is, about to stop.
+"""
 
 import json
 from collections.abc import Iterator
@@ -38,20 +42,20 @@
 
 
 class Box(NamedTuple):
-    """A box as the list has it.
+    """A box as listed in the directory.
 
     Parameters
     ----------
     name : str
         Unique among the boxes.
     host : str
-        Its IP number.
+        Its IP address.
     peer_port : int
         The TCP port for other boxes.
     data_hall : str
-        Where it stands.
+        Its data hall.
     leaving : bool
-        True if it is about to go.
+        True if it is about to stop.
     """
 
     name: str
@@ -62,7 +66,7 @@
 
 
 class Target(NamedTuple):
-    """A target as the list has it.
+    """A target as listed in the directory.
 
     Parameters
     ----------
@@ -73,7 +77,7 @@
     url : str
         Its base URL.
     data_hall : str
-        Where it stands.
+        Its data hall.
     models : tuple of str
         The models that an engine serves.
     service : str
@@ -83,15 +87,15 @@
     prefill_tokens_per_s : float
         An engine's prefill speed at the start of a prompt.
     attention_tokens : int
-        The position in a prompt at which prefilling a token takes twice as long.
+        The position in a prompt at which prefilling a token takes twice as long as at the start.
     decode_step_s : float
         The time between two tokens without prefill, in seconds.
     chunk_tokens : int
-        The most tokens that it prefills between two tokens of an answer.
+        The maximum number of tokens that it prefills between two decoding steps.
     checks_orders : bool
-        True if it refuses orders with a stale fence.
+        True if it rejects orders with a stale fencing token.
     leaving : bool
-        True if it is about to go and takes no new work.
+        True if it is about to stop and accepts no new requests.
     """
 
     name: str
@@ -110,7 +114,7 @@
 
 
 class Directory(NamedTuple):
-    """The list at one moment."""
+    """A snapshot of the list."""
 
     boxes: tuple[Box, ...] = ()
     targets: tuple[Target, ...] = ()
@@ -122,7 +126,7 @@
         ]
 
     def services(self, service: str) -> list[Target]:
-        """Return the targets that provide the plain service and are not leaving."""
+        """Return the targets that provide a plain service and are not leaving."""
         return [
             t
             for t in self.targets
@@ -130,12 +134,12 @@
         ]
 
     def models(self) -> list[str]:
-        """Return all models that some engine serves, sorted."""
+        """Return the models that at least one engine serves, sorted."""
         return sorted({m for t in self.targets if t.kind == "engine" for m in t.models})
 
 
 class DirectoryClient:
-    """Reads the list.
+    """Reads the list of boxes and targets.
 
     Parameters
     ----------
@@ -152,28 +156,28 @@
         self._last = Directory()
 
     async def read(self) -> Directory:
-        """Return the list as the platform has it now.
+        """Return the current list.
 
-        What has not changed since the last reading is not sent again: at hundreds of boxes
-        and targets the whole list every few seconds is more than a box may receive.
+        Uses entity tags, so that unchanged rows are not transferred again: the full list of a
+        large fleet every few seconds would exceed a box's receive limit.
 
         Raises
         ------
         DirectoryUnavailableError
-            If it cannot be read or makes no sense.
+            If the list cannot be read or is malformed.
         """
-        boxes, boxes_tag = await self._rows("boxes")
-        targets, targets_tag = await self._rows("targets")
+        boxes, boxes_tag = await self._fetch_rows("boxes")
+        targets, targets_tag = await self._fetch_rows("targets")
         self._last = Directory(
             self._last.boxes if boxes is None else tuple(_parsed(Box, boxes)),
             self._last.targets if targets is None else tuple(_parsed(Target, targets)),
         )
-        # Only now: a tag that is kept without its rows would hide them until the next change.
+        # Store the tags only with their rows: a tag alone would hide the rows until they change.
         self._tags = {"boxes": boxes_tag, "targets": targets_tag}
         return self._last
 
-    async def _rows(self, kind: str) -> tuple[list[dict[str, Any]] | None, str]:
-        """Return the rows of a list, None if they are those of the last reading, and their tag."""
+    async def _fetch_rows(self, kind: str) -> tuple[list[dict[str, Any]] | None, str]:
+        """Return the rows of a list (None if unchanged since the last read) and their tag."""
         tag = self._tags.get(kind, "")
         headers = {"if-none-match": tag} if tag else {}
         try:
@@ -186,16 +190,16 @@
             case HTTPStatus.NOT_MODIFIED:
                 return None, tag
             case HTTPStatus.OK:
-                return _rows_of(body, kind), response.headers.getRawHeaders("etag", [""])[0]
+                return _decode_rows(body, kind), response.headers.getRawHeaders("etag", [""])[0]
             case _:
                 raise DirectoryUnavailableError(f"status {response.code}: {body[:200]!r}")
 
 
-def _rows_of(body: bytes, kind: str) -> list[dict[str, Any]]:
+def _decode_rows(body: bytes, kind: str) -> list[dict[str, Any]]:
     try:
         return json.loads(body)[kind]
     except (ValueError, KeyError, TypeError) as exc:
-        raise DirectoryUnavailableError(f"the list of {kind} makes no sense: {exc!r}") from exc
+        raise DirectoryUnavailableError(f"the list of {kind} is malformed: {exc!r}") from exc
 
 
 def _parsed(row_type: type[R], rows: list[dict[str, Any]]) -> Iterator[R]:
@@ -206,9 +210,9 @@
         try:
             yield row_type(**fields)
         except TypeError as exc:
-            raise DirectoryUnavailableError(f"a row lacks a field: {exc}") from exc
+            raise DirectoryUnavailableError(f"a row of the list lacks a field: {exc}") from exc
 
 
 def _known_fields(row_type: type[NamedTuple], row: dict[str, Any]) -> dict[str, Any]:
-    """Leave out what a newer platform may have added to a row."""
+    """Drop fields that a newer platform version may have added to a row."""
     return {name: row[name] for name in row_type._fields if name in row}
--- a/gladedrum/platform/feeds.py
+++ b/gladedrum/platform/feeds.py
@@ -1,4 +1,4 @@
-"""What a box reads from the store and writes there, under the platform's keys."""
+"""Readers of the operator's configuration and of the target list in the store."""
 
 import logging
 from typing import NamedTuple
@@ -11,14 +11,24 @@
 
 __all__ = ["ConfigurationFeed", "ConfigurationNews", "TargetFeed"]
 
-UNREAD_LOGGED = 20
-"""Lines about entries that can't be read, at one reading."""
+MAX_MALFORMED_LOGGED = 20
+"""The maximum number of malformed entries that one read logs one by one."""
 
 _log = logging.getLogger(__name__)
 
 
 class ConfigurationNews(NamedTuple):
-    """A configuration, None if nothing has changed, the store's revision, and its bytes."""
+    """The result of a read or watch.
+
+    Parameters
+    ----------
+    table : RouteTable or None
+        The decoded configuration; None if it has not changed.
+    revision : Revision
+        The store's revision.
+    raw : bytes
+        The encoded configuration; empty if it has not changed.
+    """
 
     table: RouteTable | None
     revision: int
@@ -26,15 +36,15 @@
 
 
 class ConfigurationFeed:
-    """The operator's configuration in the store."""
+    """Reads the operator's configuration from the store."""
 
     def __init__(self, store: StoreClient):
         self._store = store
 
     async def read(self, probe: bool = False) -> ConfigurationNews:
-        """Read it whole; raises `KVUnavailableError` or `MalformedError`.
+        """Read the current configuration; raises `KVUnavailableError` or `MalformedError`.
 
-        With `probe`, for a store that has not answered lately.
+        `probe` sets the shorter timeout for a store that has not responded recently.
         """
         limit_s = PROBE_TIMEOUT_S if probe else None
         listing = await self._store.list(wire.CONFIGURATION_PREFIX, timeout_s=limit_s)
@@ -42,49 +52,51 @@
         return ConfigurationNews(self.decode(raw) if raw else None, listing.revision, raw)
 
     async def watch(self, after_revision: int, wait_s: float) -> ConfigurationNews:
-        """Wait for a newer one; raises as `read` does, or `HistoryGoneError`."""
-        answer = await self._store.watch(wire.CONFIGURATION_PREFIX, after_revision, wait_s)
-        raw = _newest(answer.changes)
-        return ConfigurationNews(self.decode(raw) if raw else None, answer.revision, raw)
+        """Wait for a newer configuration; raises as `read` does, or `HistoryGoneError`."""
+        result = await self._store.watch(wire.CONFIGURATION_PREFIX, after_revision, wait_s)
+        raw = _newest(result.changes)
+        return ConfigurationNews(self.decode(raw) if raw else None, result.revision, raw)
 
     def decode(self, raw: bytes) -> RouteTable:
-        """Return what a configuration's bytes say; raises `MalformedError`."""
+        """Decode a configuration; raises `MalformedError`."""
         return decode_configuration(raw)
 
 
 class TargetFeed:
-    """The list of targets in the store."""
+    """Reads the list of targets from the store."""
 
     def __init__(self, store: StoreClient):
         self._store = store
-        self._unread: set[str] = set()
+        self._malformed: set[str] = set()
 
     async def read(self, probe: bool = False) -> dict[str, TargetEntry]:
-        """Read all entries, by target; raises `KVUnavailableError`.
+        """Return all entries by target name; raises `KVUnavailableError`.
 
-        One that cannot be read, since another writer left it there, is left out, and logged the
-        first time. `probe` as in `ConfigurationFeed`.
+        Malformed entries, which other programs may have written, are skipped and logged once.
+        `probe` as in `ConfigurationFeed.read`.
         """
         limit_s = PROBE_TIMEOUT_S if probe else None
         listing = await self._store.list(wire.TARGETS_PREFIX, timeout_s=limit_s)
-        entries, unread = {}, {}
+        entries, malformed = {}, {}
         for item in listing.items:
             name = item.key.removeprefix(wire.TARGETS_PREFIX)
             try:
                 entries[name] = decode_target(name, item.value or b"")
             except MalformedError as exc:
-                unread[name] = str(exc)
-        self._log_unread(unread)
+                malformed[name] = str(exc)
+        self._log_malformed(malformed)
         return entries
 
-    def _log_unread(self, unread: dict[str, str]) -> None:
-        news = sorted(unread.keys() - self._unread)
-        self._unread = set(unread)
-        for name in news[:UNREAD_LOGGED]:
-            extra = {"target": name, "reason": unread[name]}
+    def _log_malformed(self, malformed: dict[str, str]) -> None:
+        new_names = sorted(malformed.keys() - self._malformed)
+        self._malformed = set(malformed)
+        for name in new_names[:MAX_MALFORMED_LOGGED]:
+            extra = {"target": name, "reason": malformed[name]}
             _log.error("target's entry not read", extra=extra)
-        if len(news) > UNREAD_LOGGED:
-            _log.error("targets' entries not read", extra={"more": len(news) - UNREAD_LOGGED})
+        if len(new_names) > MAX_MALFORMED_LOGGED:
+            _log.error(
+                "targets' entries not read", extra={"more": len(new_names) - MAX_MALFORMED_LOGGED}
+            )
 
 
 def _newest(items: tuple[StoredItem, ...]) -> bytes:
--- a/gladedrum/platform/heads.py
+++ b/gladedrum/platform/heads.py
@@ -1,4 +1,8 @@
-"""Heads of requests and answers: from the platform's names to the product's, and back."""
+"""Translation of HTTP headers of requests and responses.
+
+The ``*Marks`` types hold the metadata that the platform's headers carry, under this package's own
+names and units.
+"""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -6,7 +10,7 @@
 
 from . import wire
 
-__all__ = ["AnswerMarks", "CallerMarks", "SentMarks", "answer_marks", "caller_marks"]
+__all__ = ["AnswerMetadata", "CallerMarks", "SentMarks", "answer_marks", "caller_marks"]
 __all__ += ["answer_headers", "forward_headers", "refusal_headers"]
 
 Headers = Iterable[tuple[bytes, bytes]]
@@ -15,32 +19,32 @@
     b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate",
     b"proxy-authorization", b"te", b"trailer", b"transfer-encoding", b"upgrade",
 }  # fmt: skip
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
+"""Headers that apply to a single connection only (RFC 9110, section 7.6.1)."""
 
-_SET_HERE = {
-    wire.DEADLINE_MS, wire.EXPECTED_TARGET, wire.ORGANISATION, wire.AUTHORIZATION, wire.URGENCY,
-    wire.HELPERS, wire.EXPECTED_WEIGHTS, b"expect", b"content-length",
+_REPLACED = {
+    wire.DEADLINE_MS, wire.EXPECTED_TARGET, wire.ORGANISATION, wire.AUTHORIZATION, wire.PRIORITY,
+    wire.HELPERS, wire.EXPECTED_VERSION, b"expect", b"content-length",
 }  # fmt: skip
-"""Headers of a caller that are dropped or written anew for the target."""
+"""Headers of a caller that are not forwarded, or replaced by the box's own."""
 
 
 class CallerMarks(NamedTuple):
-    """What a caller's headers say about its request.
+    """Metadata of a caller's request, from its headers.
 
     Parameters
     ----------
     request_id : str
-        Its id; empty if there is none.
+        The request's id; empty if missing.
     time_left_s : float or None
-        How long the caller will wait.
+        How long the caller waits for the response.
     key : str or None
-        The API key; an empty one if the header is there but holds none.
+        The API key; None without the header, empty if the header holds no key.
     prompt_tokens, answer_tokens : int
-        The size of the prompt, and the most that is to be written; 0 if not said.
+        The length of the prompt and the maximum length of the answer; 0 if unknown.
     answer_guess : int
-        The caller's guess at the length of the answer; 0 if not said.
+        The caller's estimate of the answer's length, in tokens; 0 if unknown.
     last_event_id : bytes or None
-        Where a stream is to go on.
+        The event after which an interrupted stream resumes.
     """
 
     request_id: str
@@ -54,22 +58,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SentMarks:
-    """What is told to a target beside the caller's own headers.
+    """Metadata that a box adds to the caller's headers for the target.
 
     Parameters
     ----------
     target : str
-        The target that alone may run the request.
+        The only target that may run the request.
     time_left_s : float or None
-        When it is to stop work.
+        The time after which the target stops working on the request.
     organisation : str or None
-        Whose key came with the request.
+        The organisation whose API key the request carries.
     urgency : int
-        0 to 9, 0 first.
+        From 0 (most urgent) to 9.
     last_event_id : bytes or None
-        Where a stream is to go on.
+        The event after which an interrupted stream resumes.
     helpers : tuple of str
-        Engines that read with it, as IP:PORT or IP:PORT/RESERVATION.
+        Engines that share the prefill with the target, as IP:PORT or IP:PORT/RESERVATION.
     """
 
     target: str
@@ -80,22 +84,22 @@
     helpers: tuple[str, ...] = ()
 
 
-class AnswerMarks(NamedTuple):
-    """What a target's headers say about its answer.
+class AnswerMetadata(NamedTuple):
+    """Metadata of a target's response, from its status and headers.
 
     Parameters
     ----------
     request_id : str
-        The request that it belongs to; empty if it does not say.
+        The request that it answers; empty if the target names none.
     not_run : bool
-        Whether the target vouches that it did not and will not run the request.
+        True if the target guarantees that it did not and will not run the request.
     at_fault : str
-        The target for which it did not run, by name or IP:PORT; empty if it does not say. A helping
-        engine may be at fault in place of the one that answers.
+        The target because of which the request did not run, by name or IP:PORT; empty if not named.
+        It may be a helper of the target that responds.
     closes : bool
-        Whether the connection is used no more.
+        Whether the connection closes after the response.
     idle_s : float or None
-        How long the target keeps an idle connection, if it says.
+        How long the target keeps an idle connection open; None if unknown.
     """
 
     request_id: str
@@ -106,17 +110,17 @@
 
 
 def caller_marks(headers: Headers) -> CallerMarks:
-    """Read what a caller's headers say; what is malformed counts as not said."""
+    """Extract the metadata from a caller's headers; ignores malformed values."""
     found = dict(headers)
     prompt, _, answer = found.get(wire.TOKENS_IN_OUT, b"").partition(b",")
     deadline_ms = found.get(wire.DEADLINE_MS)
     return CallerMarks(
         request_id=found.get(wire.REQUEST_ID, b"").decode("latin-1"),
-        time_left_s=None if deadline_ms is None else _whole(deadline_ms) / 1000,
-        key=_key(found.get(wire.AUTHORIZATION)),
-        prompt_tokens=_whole(prompt),
-        answer_tokens=_whole(answer),
-        answer_guess=_whole(found.get(wire.LENGTH_GUESS, b"")),
+        time_left_s=None if deadline_ms is None else _parse_int(deadline_ms) / 1000,
+        key=_api_key(found.get(wire.AUTHORIZATION)),
+        prompt_tokens=_parse_int(prompt),
+        answer_tokens=_parse_int(answer),
+        answer_guess=_parse_int(found.get(wire.LENGTH_HINT, b"")),
         last_event_id=found.get(wire.LAST_EVENT_ID),
     )
 
@@ -124,11 +128,11 @@
 def forward_headers(
     headers: Sequence[tuple[bytes, bytes]], body_length: int | None, marks: SentMarks
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers for a target: the caller's, and what is set here.
+    """Return the headers for a target: the caller's, with the metadata in `marks`.
 
-    `body_length` is None if the request has no body, and its headers claimed none.
+    `body_length` is None if the caller's headers announced no body.
     """
-    dropped = _HOP_BY_HOP | _SET_HERE | _named_by_connection(headers)
+    dropped = _HOP_BY_HOP | _REPLACED | _named_by_connection(headers)
     if marks.last_event_id is not None:
         dropped = dropped | {wire.LAST_EVENT_ID}
     sent = [(name, value) for name, value in headers if name.lower() not in dropped]
@@ -140,7 +144,7 @@
     if marks.organisation is not None:
         sent.append((wire.ORGANISATION, marks.organisation.encode()))
     if marks.urgency != SentMarks.urgency:
-        sent.append((wire.URGENCY, b"%d" % min(9, max(0, marks.urgency))))
+        sent.append((wire.PRIORITY, b"%d" % min(9, max(0, marks.urgency))))
     if marks.last_event_id is not None:
         sent.append((wire.LAST_EVENT_ID, marks.last_event_id))
     if marks.helpers:
@@ -148,27 +152,27 @@
     return sent
 
 
-def answer_marks(status: int, headers: Headers) -> AnswerMarks:
-    """Read what the head of a target's answer says."""
+def answer_marks(status: int, headers: Headers) -> AnswerMetadata:
+    """Extract the metadata from a target's response."""
     found = dict(headers)
     not_run = status == 421 or (status in (400, 429, 503) and wire.NOT_RUN in found)
-    return AnswerMarks(
+    return AnswerMetadata(
         request_id=found.get(wire.REQUEST_ID, b"").decode("latin-1"),
         not_run=not_run,
         at_fault=found.get(wire.AT_FAULT, b"").decode("latin-1"),
         closes=b"close" in found.get(b"connection", b"").lower(),
-        idle_s=_idle_s(found.get(b"keep-alive", b"")),
+        idle_s=_keep_alive_s(found.get(b"keep-alive", b"")),
     )
 
 
 def answer_headers(headers: Sequence[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Return those headers of a target's answer that go to the caller."""
+    """Return the headers of a target's response that are forwarded to the caller."""
     dropped = _HOP_BY_HOP | _named_by_connection(headers)
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 def refusal_headers(request_id: str, retry_after_s: float | None) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer of the box's own."""
+    """Return the headers of an error response that the box itself generates."""
     headers = [(b"content-type", b"text/plain")]
     if request_id:
         headers.append((wire.REQUEST_ID, request_id.encode("latin-1")))
@@ -182,7 +186,7 @@
     return {part.strip().lower() for value in named for part in value.split(b",")} - {b""}
 
 
-def _key(value: bytes | None) -> str | None:
+def _api_key(value: bytes | None) -> str | None:
     if value is None:
         return None
     if not value.lower().startswith(wire.KEY_SCHEME):
@@ -190,12 +194,12 @@
     return value[len(wire.KEY_SCHEME) :].strip().decode("latin-1")
 
 
-def _whole(value: bytes) -> int:
+def _parse_int(value: bytes) -> int:
     text = value.strip()
     return int(text) if text.isdigit() and len(text) <= 12 else 0
 
 
-def _idle_s(value: bytes) -> float | None:
+def _keep_alive_s(value: bytes) -> float | None:
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout" and seconds.isdigit():
--- a/gladedrum/platform/orders.py
+++ b/gladedrum/platform/orders.py
@@ -1,4 +1,8 @@
-"""What is sent to targets: requests, and beside them reports on load and orders about memory."""
+"""Calls that a box makes to targets besides requests: load reports and memory orders.
+
+A reserve order sets aside an engine's memory for a request (a reservation); a release order frees
+it.
+"""
 
 from enum import Enum
 from typing import NamedTuple
@@ -11,17 +15,17 @@
 
 
 class CallKind(Enum):
-    """What is sent to a target, by what it asks of it."""
+    """The kinds of messages sent to targets."""
 
-    REQUEST = "a caller's request"
-    REPORT = "a question for its report"
-    SET_ASIDE = "an order to set memory aside"
-    RENEW = "an order to hold memory for longer"
-    FREE = "an order to free memory"
+    REQUEST = "request"
+    REPORT = "load report"
+    SET_ASIDE = "reserve order"
+    RENEW = "renew order"
+    FREE = "release order"
 
 
 class TargetCall(NamedTuple):
-    """A call to a target: its kind, method, path and JSON body (empty if there is none)."""
+    """A call to a target: its kind, method, path and JSON body (may be empty)."""
 
     kind: CallKind
     method: bytes
@@ -30,7 +34,7 @@
 
     @property
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """The headers that go with it, but for the host."""
+        """The headers of the call, without ``host``."""
         if not self.body:
             return []
         return [
@@ -40,20 +44,23 @@
 
 
 def report_call() -> TargetCall:
-    """Ask a target for its report; the answer's body is for `decode_report`."""
+    """Return a call for a target's load report; pass the reply's body to `decode_report`."""
     return TargetCall(CallKind.REPORT, b"GET", wire.REPORT_PATH.encode())
 
 
 def reserve_call(
     reservation: str, tokens: int, hold_s: float, kind: CallKind = CallKind.SET_ASIDE
 ) -> TargetCall:
-    """Set memory aside, or renew that; 200 if it is, 409 if there is too little."""
+    """Return a call that reserves memory or renews a reservation.
+
+    The target replies with 200 if it has reserved the memory, or 409 if too little is free.
+    """
     order = {"op": "reserve", "id": reservation, "tokens": tokens, "holdMs": int(hold_s * 1000)}
     return TargetCall(kind, b"POST", wire.ORDER_PATH.encode(), msgspec.json.encode(order))
 
 
 def release_call(reservation: str) -> TargetCall:
-    """Free memory that was set aside."""
+    """Return a call that releases a reservation."""
     order = {"op": "release", "id": reservation}
     body = msgspec.json.encode(order)
     return TargetCall(CallKind.FREE, b"POST", wire.ORDER_PATH.encode(), body)
--- a/gladedrum/platform/statements.py
+++ b/gladedrum/platform/statements.py
@@ -1,6 +1,6 @@
-"""What a target says of itself in the head of an answer, beside what it says of that answer.
+"""Statements: what a target's response headers say about the target itself.
 
-Such a statement concerns more than the request that is answered: `Statements` lists the kinds.
+A statement applies beyond the request that is answered. `Statements` lists the kinds.
 """
 
 import re
@@ -10,31 +10,31 @@
 
 from . import wire
 
-__all__ = ["OddStatement", "Statements", "statements_of"]
+__all__ = ["OddStatement", "Statements", "parse_statements"]
 
 Headers = Iterable[tuple[bytes, bytes]]
 
 _DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,9})?([eE][+-]?[0-9]{1,2})?")
-"""How a rate may be written; what else `float` takes (``nan``, ``inf``, ``1_0``) is none."""
+"""Syntax of a rate. Excludes other inputs that `float` accepts (``nan``, ``inf``, ``1_0``)."""
 
 _SECONDS = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,9})?")
-"""How a time of rest may be written; a date is none."""
+"""Syntax of a backoff time in seconds. HTTP dates are not accepted."""
 
-_LEAVES = re.compile(rb"1")
+_TRUE = re.compile(rb"1")
 
-_SHOWN_BYTES = 40
-"""How much is kept of a header that can't be read, in bytes."""
+_MAX_TEXT_BYTES = 40
+"""The maximum length of a malformed header's text that is kept for logs."""
 
 
 class OddStatement(NamedTuple):
-    """What stands in the place of a statement and is none.
+    """A statement that cannot be parsed.
 
     Parameters
     ----------
     kind : str
-        What it would be: the name of a field of `Statements`.
+        The kind of statement: the name of a field of `Statements`.
     text : str
-        What stands there, cut short.
+        The header's text, truncated.
     """
 
     kind: str
@@ -42,20 +42,20 @@
 
 
 class Statements(NamedTuple):
-    """What a target says of itself in one answer.
+    """The statements in the headers of one response.
 
     Parameters
     ----------
     rate_per_s : float or None
-        The requests a second that it takes from all boxes together, for as long as its answers say
-        so; None if it names no rate.
+        The target's rate limit in requests per second, for all boxes together. It applies until a
+        later response of the target names another limit or none. None if there is no limit.
     leaves : bool
-        Whether it leaves; it then does so for as long as it lives.
+        Whether the target is leaving; a leaving target does not return before it restarts.
     rest_s : float or None
-        For how many seconds it wants nothing from the box that it answers; None if it asks for no
-        rest.
+        Backoff: the time in seconds during which the target wants no calls from the box that gets
+        this response. None if it asks for no backoff.
     odd : tuple of OddStatement
-        What can't be read, and says nothing.
+        Statements that cannot be parsed; they have no effect.
     """
 
     rate_per_s: float | None = None
@@ -64,23 +64,25 @@
     odd: tuple[OddStatement, ...] = ()
 
 
-def statements_of(status: int, headers: Headers) -> Statements:
-    """Read what the head of an answer says of its target.
+def parse_statements(status: int, headers: Headers) -> Statements:
+    """Extract the statements from the status and headers of a response.
 
-    Only a target that turns a request away asks for rest, with the status 503: 429 speaks of whose
-    request it is, and another status with that header of where or when an answer is to be had.
+    ``retry-after`` asks for backoff only with status 503. With 429 it concerns the organisation
+    that sent the request, and with other statuses the requested resource.
 
     Examples
     --------
-    >>> statements_of(503, [(b"retry-after", b"3"), (b"server-leaving", b"1")])
+    >>> parse_statements(503, [(b"retry-after", b"3"), (b"server-leaving", b"1")])
     Statements(rate_per_s=None, leaves=True, rest_s=3.0, odd=())
     """
     headers = list(headers)
-    rate, odd_rate = _read(headers, wire.RATE_LIMIT, _DECIMAL)
-    leaves, odd_leaves = _read(headers, wire.LEAVING, _LEAVES)
-    asks_rest = status == HTTPStatus.SERVICE_UNAVAILABLE
-    rest, odd_rest = _read(headers, wire.REST, _SECONDS) if asks_rest else (None, "")
-    odd = {"rate_per_s": odd_rate, "leaves": odd_leaves, "rest_s": odd_rest}
+    rate, malformed_rate = _read_header(headers, wire.RATE_LIMIT, _DECIMAL)
+    leaves, malformed_leaves = _read_header(headers, wire.LEAVING, _TRUE)
+    allows_backoff = status == HTTPStatus.SERVICE_UNAVAILABLE
+    rest, malformed_rest = (
+        _read_header(headers, wire.REST, _SECONDS) if allows_backoff else (None, "")
+    )
+    odd = {"rate_per_s": malformed_rate, "leaves": malformed_leaves, "rest_s": malformed_rest}
     return Statements(
         None if rate is None else float(rate),
         leaves is not None,
@@ -89,17 +91,17 @@
     )
 
 
-def _read(
-    headers: list[tuple[bytes, bytes]], name: bytes, form: re.Pattern[bytes]
+def _read_header(
+    headers: list[tuple[bytes, bytes]], name: bytes, pattern: re.Pattern[bytes]
 ) -> tuple[bytes | None, str]:
-    """Return what a header holds, and what stands in its place if that can't be read.
+    """Return a header's value, None if missing or malformed, and its text if malformed.
 
-    One that stands there twice and differs says nothing.
+    Repeated headers with different values count as malformed.
     """
-    match sorted({value.strip() for found, value in headers if found == name}):
+    match sorted({value.strip() for header, value in headers if header == name}):
         case []:
             return None, ""
-        case [text] if form.fullmatch(text):
+        case [text] if pattern.fullmatch(text):
             return text, ""
         case texts:
-            return None, b", ".join(texts)[:_SHOWN_BYTES].decode("latin-1") or "(empty)"
+            return None, b", ".join(texts)[:_MAX_TEXT_BYTES].decode("latin-1") or "(empty)"
--- a/gladedrum/platform/store.py
+++ b/gladedrum/platform/store.py
@@ -1,12 +1,13 @@
-"""The client of the platform's store.
+"""Client of the platform's key-value store.
 
-How a call can go wrong is kept apart: it did nothing (`KVUnavailableError`), its condition did
-not hold (`KVConflictError`), the history it asks for is gone (`HistoryGoneError`), or nobody can
-say whether it was done (`KVUnknownError`).
+Calls fail in four distinct ways: the call had no effect (`KVUnavailableError`), its condition did
+not hold (`KVConflictError`), the requested history is no longer kept (`HistoryGoneError`), or the
+outcome is unknown (`KVUnknownError`).
 
-The store may come back from a copy of itself that is some seconds old. Every answer names its era,
-which rises by one each time. Revisions and leases are given out again then, so each carries the era
-in which it was given: those of two eras are never the same, and the later era's is the newer.
+The store may be restored from a backup that is some seconds old. Each restore starts a new era, and
+every response names the current era number. A restored store reuses numbers of revisions and
+leases, so each carries the era in which it was issued: revisions of different eras are never equal,
+and those of the later era are newer.
 """
 
 import base64
@@ -39,35 +40,34 @@
 STORE = Item("platform", "store", "127.0.0.1:2379", "IP:PORT of the platform's store.")
 
 CALL_TIMEOUT_S = 1.5
-"""How long an answer may take, in seconds; far above the few milliseconds of a sound store."""
+"""The timeout of a call in seconds; a healthy store responds within milliseconds."""
 
 PROBE_TIMEOUT_S = 0.7
-"""As `CALL_TIMEOUT_S` for a store that has not answered lately, in seconds: its return is noticed
-sooner by many short calls than by a long one, and a slow store still answers in time."""
+"""The timeout, in seconds, of calls to a store that has not responded recently. Many short calls
+detect its return sooner than a long one; the time still suffices for a slow store."""
 
 _WATCH_GRACE_S = 1.0
-"""How long after its own end the answer of a watch may come, in seconds."""
+"""The additional time, in seconds, for the response of a watch after its wait has ended."""
 
-
-_ERA_DIGITS = 12
-"""A longer number is no era."""
+_MAX_ERA_DIGITS = 12
+"""Longer numbers are ignored as malformed."""
 
 _log = logging.getLogger(__name__)
 
 
 class HistoryGoneError(GladedrumError):
-    """The store has forgotten the changes that a watch asks for; read the state instead."""
+    """The store no longer keeps the changes that a watch asks for; read all items again."""
 
 
 class Revision(NamedTuple):
-    """A place in the order of the store's changes.
+    """A position in the sequence of the store's changes.
 
     Parameters
     ----------
     era : int
-        The era in which it was given; 0 if the store names none.
+        The era in which it was issued; 0 if the store names none.
     number : int
-        Rises with each change within an era.
+        Increases with each change within an era.
 
     Examples
     --------
@@ -80,21 +80,21 @@
 
 
 ABSENT = Revision(0, 0)
-"""The revision of a key that isn't there, in conditions."""
+"""In conditions, the revision of a key that does not exist."""
 
 NEVER = Revision(-1, -1)
-"""Older than any revision."""
+"""A revision that is older than any other."""
 
 
 class Lease(NamedTuple):
-    """A lease, and the era in which it was given: its number is given out again in the next."""
+    """A lease and the era in which it was issued; later eras may reuse its number."""
 
     era: int
     number: int
 
 
 class StoredItem(NamedTuple):
-    """A key and its value; `value` is None if a watch reports that the key is gone."""
+    """A key, its value and its revision; `value` is None if a watch reports a removal."""
 
     key: str
     value: bytes | None
@@ -102,21 +102,21 @@
 
 
 class Listing(NamedTuple):
-    """All items under a prefix, and the store's revision at the first page."""
+    """All items under a prefix, and the store's revision as of the first page."""
 
     items: tuple[StoredItem, ...]
     revision: Revision
 
 
 class WatchAnswer(NamedTuple):
-    """The changes since a revision, and the revision from which to go on."""
+    """The changes since a revision, and the revision from which to continue."""
 
     changes: tuple[StoredItem, ...]
     revision: Revision
 
 
-class _Answer(NamedTuple):
-    """The status and body of an answer, and the era that it names."""
+class _Response(NamedTuple):
+    """The status, body and era of a response."""
 
     status: int
     body: Any
@@ -124,7 +124,7 @@
 
 
 class StoreClient:
-    """Calls to the store.
+    """Makes calls to the store.
 
     Parameters
     ----------
@@ -136,10 +136,10 @@
     Attributes
     ----------
     era : int
-        The latest era that an answer has named; 0 before the first.
+        The latest era that a response has named; 0 before the first response.
     on_era : list of callable
-        Called with the era before and the new one when the store has come back from a copy, before
-        the caller gets the answer that says so.
+        Called with the previous and the new era when the store has been restored, before the
+        response that names the new era is returned.
     """
 
     def __init__(self, address: str, web: WebClient):
@@ -149,35 +149,36 @@
         self.on_era: list[Callable[[int, int], None]] = []
 
     async def get(self, key: str) -> StoredItem | None:
-        """Return one item, None if the key isn't there; raises `KVUnavailableError`."""
-        answer = await self._read(f"{wire.STORE_KEY}?key={quote(key, safe='')}")
-        if answer.status == HTTPStatus.NOT_FOUND:
+        """Return one item, None if the key does not exist; raises `KVUnavailableError`."""
+        response = await self._read(f"{wire.STORE_KEY}?key={quote(key, safe='')}")
+        if response.status == HTTPStatus.NOT_FOUND:
             return None
-        return _item(answer.body, answer.era)
+        return _decode_item(response.body, response.era)
 
     async def list(
         self, prefix: str, stale: bool = False, timeout_s: float | None = None
     ) -> Listing:
-        """Return all items under a prefix, read page by page; raises `KVUnavailableError`.
+        """Return all items under a prefix; raises `KVUnavailableError`.
 
-        `stale` reads are cheap and may be seconds old. `timeout_s` is for each page.
+        The items are read in pages; `timeout_s` applies to each page. A `stale` read is cheaper,
+        but may return data that is seconds old.
         """
         items: list[StoredItem] = []
-        first_revision = None
+        first_page_revision = None
         after = ""
         while True:
             query = f"pathPrefix={quote(prefix, safe='')}" + ("&stale=1" if stale else "")
             if after:
                 query += f"&afterRevision={quote(after, safe='')}"
-            answer = await self._read(f"{wire.STORE_RANGE}?{query}", timeout_s)
-            page = [_item(row, answer.era) for row in answer.body.get("items", [])]
+            response = await self._read(f"{wire.STORE_RANGE}?{query}", timeout_s)
+            page = [_decode_item(row, response.era) for row in response.body.get("items", [])]
             items += page
-            if first_revision is None:
-                first_revision = Revision(answer.era, answer.body.get("at", 0))
-            elif first_revision.era != answer.era:
-                raise KVUnavailableError(f"{prefix}: the store came back from a copy between pages")
-            if not answer.body.get("more") or not page:
-                return Listing(tuple(items), first_revision)
+            if first_page_revision is None:
+                first_page_revision = Revision(response.era, response.body.get("at", 0))
+            elif first_page_revision.era != response.era:
+                raise KVUnavailableError(f"{prefix}: the store was restored between pages")
+            if not response.body.get("more") or not page:
+                return Listing(tuple(items), first_page_revision)
             after = page[-1].key
 
     async def get_prefix(self, prefix: str) -> dict[str, StoredItem]:
@@ -185,25 +186,25 @@
         return {item.key: item for item in (await self.list(prefix)).items}
 
     async def watch(self, prefix: str, after_revision: Revision, wait_s: float) -> WatchAnswer:
-        """Wait for changes under a prefix; returns no changes when `wait_s` is over.
+        """Wait for changes under a prefix; returns no changes after `wait_s`.
 
         Raises
         ------
         HistoryGoneError
-            If the changes since `after_revision` are not known any more, or it is of another era.
+            If the changes since `after_revision` are no longer kept, or it is of another era.
         KVUnavailableError
-            If no answer came.
+            If no response came.
         """
         self._require_era(after_revision)
         query = f"pathPrefix={quote(prefix, safe='')}&afterRevision={after_revision.number}"
         path = f"{wire.STORE_WATCH}?{query}&waitMs={int(wait_s * 1000)}"
-        answer = await self._read(path, wait_s + _WATCH_GRACE_S)
-        if answer.status == HTTPStatus.GONE:
+        response = await self._read(path, wait_s + _WATCH_GRACE_S)
+        if response.status == HTTPStatus.GONE:
             raise HistoryGoneError(f"no history after revision {after_revision.number}")
         self._require_era(after_revision)
-        changes = tuple(_item(row, answer.era) for row in answer.body.get("events", []))
-        at = answer.body.get("at", after_revision.number)
-        return WatchAnswer(changes, Revision(answer.era, at))
+        changes = tuple(_decode_item(row, response.era) for row in response.body.get("events", []))
+        at = response.body.get("at", after_revision.number)
+        return WatchAnswer(changes, Revision(response.era, at))
 
     def _require_era(self, revision: Revision) -> None:
         if revision.era != self.era:
@@ -218,100 +219,100 @@
     ) -> Revision:
         """Write if all conditions (key to revision, or `ABSENT`) hold; return the new revision.
 
-        A condition or a lease of an earlier era doesn't hold. If the store comes back from a copy
-        while the call is under way, a condition may hold by accident, since its revision may have
-        been given out again: the answer's era tells, and nobody can say what was done.
+        A condition or a lease of an earlier era does not hold. If the store is restored during the
+        call, a condition may hold by accident, since the store may have reused its revision. The
+        response then names a later era, and the outcome counts as unknown.
 
         Raises
         ------
         KVConflictError
             If a condition or the lease does not hold.
         KVUnavailableError
-            If it surely was not done.
+            If the call certainly had no effect.
         KVUnknownError
-            If it may have been done, or may still be.
+            If the call may have taken effect, or may still do so.
         """
-        self._require_hold([r for r in conditions.values() if r != ABSENT], lease)
+        self._require_current_era([r for r in conditions.values() if r != ABSENT], lease)
         sent_era = self.era
         body = {
             "expectedRevision": [{"key": k, "revision": r.number} for k, r in conditions.items()],
             "put": [
-                {"key": key, "value": base64.b64encode(raw).decode(), "lease": _number(lease)}
+                {"key": key, "value": base64.b64encode(raw).decode(), "lease": _lease_number(lease)}
                 for key, raw in puts.items()
             ],
             "remove": list(removals),
         }
-        answer = await self._write("POST", wire.STORE_TRANSACTION, body)
-        if 0 < sent_era < answer.era:
-            text = f"the store came back from a copy meanwhile, now in era {answer.era}"
+        response = await self._write("POST", wire.STORE_TRANSACTION, body)
+        if 0 < sent_era < response.era:
+            text = f"the store was restored during the call and is in era {response.era}"
             raise KVUnknownError(text)
-        return Revision(answer.era, int(answer.body["revision"]))
+        return Revision(response.era, int(response.body["revision"]))
 
-    def _require_hold(self, revisions: Sequence[Revision], lease: Lease | None) -> None:
+    def _require_current_era(self, revisions: Sequence[Revision], lease: Lease | None) -> None:
         stale = [held for held in (*revisions, lease) if held is not None and held.era < self.era]
         if stale:
-            raise KVConflictError(f"{stale[0]} is of an earlier era than {self.era}")
+            raise KVConflictError(f"{stale[0]} is of an era before {self.era}")
 
     async def swap(
         self, key: str, value: bytes, expected: Revision, lease: Lease | None = None
     ) -> Revision:
-        """Write one key if its revision is still `expected`; as `transact`."""
+        """Write one key if its revision is still `expected`; raises as `transact` does."""
         return await self.transact({key: expected}, {key: value}, lease=lease)
 
     async def delete(self, key: str, expected: Revision) -> None:
-        """Remove one key if its revision is still `expected`; as `transact`."""
+        """Remove one key if its revision is still `expected`; raises as `transact` does."""
         await self.transact({key: expected}, {}, [key])
 
     async def grant_lease(self, ttl_s: float) -> Lease:
         """Return a new lease of `ttl_s` seconds; raises as `transact` does."""
-        answer = await self._write("POST", wire.STORE_LEASE, {"ttl_ms": int(ttl_s * 1000)})
-        return Lease(answer.era, int(answer.body["lease"]))
+        response = await self._write("POST", wire.STORE_LEASE, {"ttl_ms": int(ttl_s * 1000)})
+        return Lease(response.era, int(response.body["lease"]))
 
     async def keep_lease(self, lease: Lease) -> None:
-        """Renew a lease; raises `KVConflictError` if it is over, else as `transact` does."""
-        self._require_hold((), lease)
+        """Renew a lease; raises `KVConflictError` if it has ended, else as `transact` does."""
+        self._require_current_era((), lease)
         await self._write("POST", f"{wire.STORE_KEEP}{lease.number}", None)
-        # Given out again, it is another's.
-        self._require_hold((), lease)
+        # If the store was restored during the call, the number may belong to another holder.
+        self._require_current_era((), lease)
 
     async def end_lease(self, lease: Lease) -> None:
         """End a lease and remove its keys; raises as `keep_lease` does.
 
-        One of an earlier era is over, and its number may be another's.
+        A lease of an earlier era has ended already, and its number may belong to another holder.
         """
-        self._require_hold((), lease)
+        self._require_current_era((), lease)
         await self._write("DELETE", f"{wire.STORE_LEASE_END}{lease.number}", None)
 
-    async def _read(self, path: str, timeout_s: float | None = None) -> _Answer:
+    async def _read(self, path: str, timeout_s: float | None = None) -> _Response:
         limit_s = CALL_TIMEOUT_S if timeout_s is None else timeout_s
         try:
             reply = await self._web.call_json("GET", self._base + path, None, limit_s)
         except NotSentError as exc:
             raise KVUnavailableError(str(exc)) from exc
         except LostAnswerError as exc:
-            self._forget_connections()
+            self._close_idle_connections()
             raise KVUnavailableError(str(exc)) from exc
         era = self._note_era(reply)
         if era < self.era:
-            raise KVUnavailableError(f"{path}: answered in era {era}, and {self.era} has begun")
+            raise KVUnavailableError(f"{path}: response of era {era}, now in era {self.era}")
         if reply.status in (HTTPStatus.OK, HTTPStatus.NOT_FOUND, HTTPStatus.GONE):
-            return _Answer(reply.status, reply.body, era)
+            return _Response(reply.status, reply.body, era)
         raise KVUnavailableError(f"{path}: status {reply.status}")
 
-    async def _write(self, method: str, path: str, body: object) -> _Answer:
+    async def _write(self, method: str, path: str, body: object) -> _Response:
         try:
             reply = await self._web.call_json(method, self._base + path, body, CALL_TIMEOUT_S)
         except NotSentError as exc:
             raise KVUnavailableError(str(exc)) from exc
         except LostAnswerError as exc:
-            self._forget_connections()
+            self._close_idle_connections()
             raise KVUnknownError(str(exc)) from exc
         era = self._note_era(reply)
         match reply.status:
             case HTTPStatus.OK if era < self.era:
-                raise KVUnknownError(f"{path}: done in era {era}, and {self.era} has begun")
+                raise KVUnknownError(f"{path}: done in era {era}, now in era {self.era}")
             case HTTPStatus.OK:
-                return _Answer(reply.status, reply.body or {}, era)
+                return _Response(reply.status, reply.body or {}, era)
             case HTTPStatus.NOT_FOUND | HTTPStatus.PRECONDITION_FAILED:
                 raise KVConflictError(f"{path}: status {reply.status}")
             case HTTPStatus.TOO_MANY_REQUESTS | HTTPStatus.SERVICE_UNAVAILABLE:
@@ -320,44 +321,44 @@
                 raise KVUnknownError(f"{path}: status {reply.status}")
 
     def _note_era(self, reply: JsonReply) -> int:
-        """Return the era that an answer names, and tell of a new one; the known one if none."""
+        """Return a response's era, else the latest known; call `on_era` if it is a new one."""
         text = reply.headers.get(wire.STORE_ERA, b"").strip()
-        if not text.isdigit() or len(text) > _ERA_DIGITS:
+        if not text.isdigit() or len(text) > _MAX_ERA_DIGITS:
             return self.era
         era, before = int(text), self.era
         if era > before:
             self.era = era
             if before:
-                for tell in self.on_era:
-                    tell(before, era)
+                for callback in self.on_era:
+                    callback(before, era)
         return era
 
-    def _forget_connections(self) -> None:
-        """Close the idle connections: the next call goes out on a new one.
+    def _close_idle_connections(self) -> None:
+        """Close the idle connections, so that the next call opens a new one.
 
-        Connections may go silent without a reset, all at once. Each that is kept would cost its
-        call a whole timeout, and the configuration would be seconds older than it has to be.
+        All connections may stop working at once without a reset. Each one kept would cost a call
+        its full timeout, and delay updates of the configuration.
         """
-        self._web.close().addErrback(_log_unclosed)
+        self._web.close().addErrback(_log_close_failure)
 
 
-def _log_unclosed(failure) -> None:
-    _log.warning("idle connections to the store not closed", extra={"reason": str(failure.value)})
+def _log_close_failure(failure) -> None:
+    _log.warning("cannot close idle connections to the store", extra={"reason": str(failure.value)})
 
 
-def _number(lease: Lease | None) -> int:
+def _lease_number(lease: Lease | None) -> int:
     return 0 if lease is None else lease.number
 
 
-def _item(row: dict[str, Any], era: int) -> StoredItem:
-    value = None if row.get("gone") else _value(row.get("value", ""))
+def _decode_item(row: dict[str, Any], era: int) -> StoredItem:
+    value = None if row.get("gone") else _decode_value(row.get("value", ""))
     return StoredItem(row["key"], value, Revision(era, int(row["revision"])))
 
 
-def _value(text: str) -> bytes:
-    """Return a value's bytes; those of one that can't be read are taken as they stand.
+def _decode_value(text: str) -> bytes:
+    """Decode a value; returns invalid base64 as it is.
 
-    Its reader refuses them, and the other items of the answer hold.
+    The decoder of that item rejects it then, and the other items of the response stay usable.
     """
     try:
         return base64.b64decode(text, validate=True)
--- a/gladedrum/platform/tests/store_case.py
+++ b/gladedrum/platform/tests/store_case.py
@@ -1,4 +1,4 @@
-"""What tests against the stand-in of the store share: the stand-in, clients, tasks that end."""
+"""Base class of tests that run against the stand-in of the store."""
 
 from twisted.internet import defer, reactor
 from twisted.trial.unittest import TestCase
@@ -12,7 +12,7 @@
 
 
 class StoreCase(TestCase):
-    """Each test has a stand-in of its own; what is in `running` ends with it."""
+    """Starts a stand-in for each test; tasks in `running` are cancelled when the test ends."""
 
     timeout = 40
 
@@ -31,5 +31,5 @@
         await self.listening.stopListening()
 
     def store(self) -> StoreClient:
-        """Return a client of its own."""
+        """Return a new client of the stand-in."""
         return StoreClient(f"127.0.0.1:{port_of(self.listening)}", self.web)
--- a/gladedrum/platform/tests/test_codecs.py
+++ b/gladedrum/platform/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""What the operator and the targets write is decoded whole, or refused with a reason."""
+"""Input from the operator and the targets is decoded completely or rejected with a reason."""
 
 import contextlib
 import json
@@ -53,7 +53,7 @@
 }  # fmt: skip
 
 
-def test_configuration_is_decoded_into_the_products_own_types():
+def test_configuration_is_decoded():
     table = decode_configuration(json.dumps(CONFIGURATION).encode())
     assert table.version == 7
     route = table.find("A.example:80", "/x/2f?q=/x/y/")
@@ -74,7 +74,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_hostile_bytes_are_refused_with_a_reason(raw):
+def test_arbitrary_bytes_raise_only_malformed_error(raw):
     for decode in (decode_configuration, decode_report, lambda raw: decode_target("t", raw)):
         with contextlib.suppress(MalformedError):
             decode(raw)
@@ -83,7 +83,7 @@
 @given(st.recursive(st.none() | st.integers() | st.text(), lambda c: st.dictionaries(
     st.sampled_from(["version", "routes", "services", "limits", "service", "address", "slots"]), c
 ) | st.lists(c), max_leaves=8))  # fmt: skip
-def test_wrong_shapes_are_refused_with_a_reason(value):
+def test_json_of_wrong_shape_raises_only_malformed_error(value):
     raw = json.dumps(value).encode()
     for decode in (decode_configuration, decode_report, lambda raw: decode_target("t", raw)):
         with contextlib.suppress(MalformedError):
@@ -96,7 +96,7 @@
     slots=st.integers(1, 64),
     state=st.sampled_from(["ready", "draining"]),
 )
-def test_an_entry_of_a_target_keeps_its_values(host, port, slots, state):
+def test_target_entry_keeps_its_values(host, port, slots, state):
     row = {"service": "s", "address": f"{host}:{port}", "zone": "z", "slots": slots}
     row |= {"state": state, "seq": 4, "version": "v1", "coldLeftMs": 0}
     entry = decode_target("t", json.dumps(row).encode())
@@ -109,7 +109,7 @@
 
 
 @given(st.lists(st.tuples(_TOKEN, _VALUE), max_size=8))
-def test_other_headers_travel_along_and_those_of_one_connection_do_not(headers):
+def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(headers):
     own = [*headers, (b"connection", b"x-hop, close"), (b"x-hop", b"1"), (b"helpers", b"evil")]
     sent = forward_headers(own, None, SentMarks("t1"))
     names = [name for name, _ in sent]
@@ -124,7 +124,7 @@
     b"x-gladedrum-deadline-ms", b"x-gladedrum-token-usage", b"authorization", b"keep-alive",
     b"length-hint",
 ]), st.binary(max_size=30)), max_size=8))  # fmt: skip
-def test_malformed_marks_count_as_not_said(headers):
+def test_malformed_metadata_is_ignored(headers):
     marks = caller_marks(headers)
     assert marks.prompt_tokens >= 0
     assert marks.time_left_s is None or marks.time_left_s >= 0
@@ -142,5 +142,5 @@
         (400, [(b"x-gladedrum-not-executed", b"1")], True),
     ],
 )
-def test_only_a_targets_own_word_says_that_it_did_not_run_a_request(status, headers, not_run):
+def test_not_run_requires_the_targets_explicit_statement(status, headers, not_run):
     assert answer_marks(status, headers).not_run is not_run
--- a/gladedrum/platform/tests/test_directory.py
+++ b/gladedrum/platform/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""A list of boxes and targets that can't be read as a whole changes nothing, and is read again."""
+"""A failed read of the directory changes nothing, and the next read returns the complete list."""
 
 import json
 
@@ -14,15 +14,15 @@
 
 
 class _Reply:
-    """An answer that has come."""
+    """A response of the platform."""
 
     def __init__(self, code, body=b"", tag=""):
         self.code, self.body = code, body
         self.headers = Headers({b"etag": [tag]} if tag else {})
 
 
-class _Lists:
-    """The platform's lists; each has a tag, and is not sent to who knows it."""
+class _Platform:
+    """The platform's lists; replies with 304 to a client that already has the current tag."""
 
     def __init__(self):
         self.rows, self.lost = {"boxes": [BOX], "targets": [ENGINE]}, set()
@@ -50,9 +50,9 @@
 
 
 @pytest.mark.parametrize("wrong", ["targets lost", "targets wrong"])
-def test_a_new_list_of_boxes_counts_though_the_targets_could_not_be_read_with_it(wrong):
-    """Its tag was kept and its rows were not: until the next change no box was known."""
-    lists = _Lists()
+def test_boxes_are_read_after_a_failed_read_of_the_targets(wrong):
+    """A tag stored without its rows would hide all boxes until the list changes."""
+    lists = _Platform()
     client = DirectoryClient(parse_settings(""), lists)
     match wrong:
         case "targets lost":
--- a/gladedrum/platform/tests/test_odd_entries.py
+++ b/gladedrum/platform/tests/test_odd_entries.py
@@ -1,7 +1,7 @@
-"""Entries of the list of targets that another writer left: none of them names a target to use.
+"""Malformed entries in the list of targets are rejected and never used as targets.
 
-Seen on the decoder: of 31 odd entries 13 named an engine that was given work, among them ones with
-no state, port 0 or 70000, no slots, a text for a number, and digits of another script.
+Examples are entries without a state, with port 0 or 70000, without slots, with text for a number,
+or with digits of another script.
 """
 
 import json
@@ -17,12 +17,12 @@
 from gladedrum.platform.store import Listing, StoredItem
 from gladedrum.utils import start
 
-SOUND = {
+VALID = {
     "service": "s1", "address": "10.9.0.7:8080", "zone": "hall", "version": "v1", "slots": 6,
     "state": "ready", "coldLeftMs": 0, "seq": 4, "born": 1_764_720_000_000,
 }  # fmt: skip
 
-ODD_FIELDS = [
+INVALID_FIELDS = [
     ("service", ""), ("service", 4), ("service", None), ("service", ["s1"]),
     ("address", ""), ("address", "10.9.0.7"), ("address", "10.9.0.7:0"), ("address", ":8080"),
     ("address", "10.9.0.7:70000"), ("address", "10.9.0.7:-1"), ("address", "engine-1:8080"),
@@ -34,15 +34,15 @@
     ("born", "now"), ("born", 1.5), ("born", True), ("born", -4), ("born", 10**18),
 ]  # fmt: skip
 
-ODD_NAMES = ["", "a/b", "a b", "a\r\nx-evil: 1", "a,b", "ä", "x" * 201, "\0"]
+INVALID_NAMES = ["", "a/b", "a b", "a\r\nx-evil: 1", "a,b", "ä", "x" * 201, "\0"]
 
 
 def raw(row) -> bytes:
     return json.dumps(row).encode()
 
 
-def listed(items):
-    """Return what the feed reads of these items of the store."""
+def make_feed(items):
+    """Return a feed of a store with these items, and a function that reads it."""
 
     class Store:
         async def list(self, _prefix, timeout_s=None):
@@ -53,59 +53,59 @@
     return feed, lambda: start(feed.read()).result
 
 
-def test_an_entry_as_it_should_be_is_used():
-    entry = decode_target("t", raw(SOUND))
+def test_valid_entry_is_decoded():
+    entry = decode_target("t", raw(VALID))
     assert (entry.name, entry.service, entry.host, entry.port) == ("t", "s1", "10.9.0.7", 8080)
-    assert (entry.slots, entry.leaving, entry.born) == (6, False, SOUND["born"])
-    assert decode_target("t", raw({**SOUND, "new": {"a": [1]}})) == entry
-    assert decode_target("t", raw({**SOUND, "state": "draining"})).leaving
+    assert (entry.slots, entry.leaving, entry.born) == (6, False, VALID["born"])
+    assert decode_target("t", raw({**VALID, "new": {"a": [1]}})) == entry
+    assert decode_target("t", raw({**VALID, "state": "draining"})).leaving
 
 
-def test_an_entry_of_a_target_that_does_not_say_when_it_started_is_used():
-    row = {name: value for name, value in SOUND.items() if name != "born"}
+def test_entry_without_a_start_time_is_decoded():
+    row = {name: value for name, value in VALID.items() if name != "born"}
     assert decode_target("t", raw(row)).born == 0
 
 
-@pytest.mark.parametrize(("name", "value"), ODD_FIELDS)
-def test_a_field_of_another_type_or_value_names_no_target(name, value):
+@pytest.mark.parametrize(("name", "value"), INVALID_FIELDS)
+def test_entry_with_an_invalid_field_is_rejected(name, value):
     with pytest.raises(MalformedError):
-        decode_target("t", raw({**SOUND, name: value}))
+        decode_target("t", raw({**VALID, name: value}))
 
 
 @pytest.mark.parametrize("name", ["service", "address", "zone", "slots", "state", "seq"])
-def test_a_missing_field_names_no_target(name):
-    row = {key: value for key, value in SOUND.items() if key != name}
+def test_entry_without_a_required_field_is_rejected(name):
+    row = {key: value for key, value in VALID.items() if key != name}
     with pytest.raises(MalformedError):
         decode_target("t", raw(row))
 
 
-@pytest.mark.parametrize("name", ODD_NAMES)
-def test_a_key_that_is_no_id_names_no_target(name):
+@pytest.mark.parametrize("name", INVALID_NAMES)
+def test_invalid_name_is_rejected(name):
     with pytest.raises(MalformedError):
-        decode_target(name, raw(SOUND))
+        decode_target(name, raw(VALID))
 
 
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", b"{", b"[]", b"null", b"7", b"[" * 100_000, raw("x")]
 )
-def test_bytes_that_can_not_be_read_name_no_target(value):
+def test_bytes_that_are_not_an_entry_are_rejected(value):
     with pytest.raises(MalformedError):
         decode_target("t", value)
 
 
-@given(st.lists(st.tuples(st.sampled_from(ODD_FIELDS), st.booleans()), max_size=8))
-def test_the_others_hold_whatever_stands_beside_them(odd):
-    items = [("sound-1", raw(SOUND))]
-    items += [(f"odd-{i}", raw({**SOUND, f: v})) for i, ((f, v), _) in enumerate(odd)]
-    items += [(f"sound-{i + 2}", raw(SOUND)) for i, (_, sound) in enumerate(odd) if sound]
-    _feed, read = listed(items)
-    assert set(read()) == {name for name, _ in items if name.startswith("sound")}
+@given(st.lists(st.tuples(st.sampled_from(INVALID_FIELDS), st.booleans()), max_size=8))
+def test_valid_entries_are_read_beside_malformed_ones(invalid):
+    items = [("valid-1", raw(VALID))]
+    items += [(f"malformed-{i}", raw({**VALID, f: v})) for i, ((f, v), _) in enumerate(invalid)]
+    items += [(f"valid-{i + 2}", raw(VALID)) for i, (_, valid) in enumerate(invalid) if valid]
+    _feed, read = make_feed(items)
+    assert set(read()) == {name for name, _ in items if name.startswith("valid")}
 
 
-def test_an_odd_entry_is_logged_once_however_often_it_is_read(caplog):
+def test_malformed_entry_is_logged_once(caplog):
     caplog.set_level(logging.ERROR)
-    odd = [(f"odd-{i}", b"{") for i in range(500)]
-    _feed, read = listed([*odd, ("sound", raw(SOUND))])
+    malformed = [(f"malformed-{i}", b"{") for i in range(500)]
+    _feed, read = make_feed([*malformed, ("valid", raw(VALID))])
     read()
     first = len(caplog.records)
     for _ in range(5):
--- a/gladedrum/platform/tests/test_store.py
+++ b/gladedrum/platform/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The client tells refused, conflicting and unknown writes apart, against the stand-in."""
+"""The store's client distinguishes refused, conflicting and unknown writes."""
 
 from twisted.internet import defer, protocol, reactor
 from twisted.trial.unittest import TestCase
@@ -11,11 +11,11 @@
 from gladedrum.utils import WebClient, sleep, start
 
 START = Revision(1, 1)
-"""Where a stand-in begins."""
+"""The first revision of a new stand-in."""
 
 
 class _Silenceable(protocol.Protocol):
-    """A connection to a store that knows no key; it can go silent without being closed."""
+    """A connection to an empty store; it can stop responding without being closed."""
 
     def dataReceived(self, data):
         if self not in self.factory.silent:
@@ -27,7 +27,7 @@
 
 
 class SilentConnectionsTest(TestCase):
-    """Open connections go silent without a reset while new ones work."""
+    """Open connections stop responding without a reset, while new ones work."""
 
     timeout = 20
 
@@ -44,7 +44,7 @@
             conn.transport.abortConnection()
         await self.listening.stopListening()
 
-    async def test_one_call_is_lost_and_not_one_for_each_open_connection(self):
+    async def test_one_timeout_closes_all_idle_connections(self):
         await defer.gatherResults([start(self.kv.get(key)) for key in "abc"])
         assert len(self.factory.opened) == 3
         self.factory.silent = list(self.factory.opened)
@@ -54,7 +54,7 @@
         assert await self.kv.get("a") is None
         assert len(self.factory.opened) == 4
 
-    async def test_a_lost_call_leaves_another_that_is_under_way_alone(self):
+    async def test_timeout_leaves_other_calls_in_progress_alone(self):
         await defer.gatherResults([start(self.kv.get(key)) for key in "ab"])
         self.factory.silent = list(self.factory.opened)
         self.patch(store_module, "CALL_TIMEOUT_S", 15.0)
@@ -69,7 +69,7 @@
 
 
 class StoreClientTest(TestCase):
-    """Each test has a stand-in of its own."""
+    """Tests of the client against a stand-in, started for each test."""
 
     timeout = 20
 
@@ -78,7 +78,7 @@
         self.listening = await listen(self.service.app, 0)
         self.web = WebClient(reactor)
         self.kv = StoreClient(f"127.0.0.1:{port_of(self.listening)}", self.web)
-        # Above what a busy machine takes; the tests of silence and delay set their own.
+        # Long enough for a busy machine; tests of timeouts set their own value.
         self.patch(store_module, "CALL_TIMEOUT_S", 15.0)
 
     async def tearDown(self):
@@ -86,37 +86,37 @@
         await self.web.close()
         await self.listening.stopListening()
 
-    async def test_a_swap_needs_the_expected_revision(self):
+    async def test_swap_requires_the_expected_revision(self):
         revision = await self.kv.swap("a", b"1", ABSENT)
         assert (await self.kv.get("a")).value == b"1"
         await self.assertFailure(start(self.kv.swap("a", b"2", ABSENT)), KVConflictError)
         assert await self.kv.swap("a", b"2", revision) > revision
         assert list(await self.kv.get_prefix("a")) == ["a"]
 
-    async def test_a_lost_answer_is_unknown_and_may_have_taken_effect(self):
+    async def test_write_without_a_response_is_unknown_and_may_have_taken_effect(self):
         self.service.switches.lose_answers = 1
         await self.assertFailure(start(self.kv.swap("a", b"1", ABSENT)), KVUnknownError)
         assert (await self.kv.get("a")).value == b"1"
 
-    async def test_a_refused_call_did_nothing(self):
+    async def test_refused_call_has_no_effect(self):
         self.service.switches.outage = True
         await self.assertFailure(start(self.kv.get("a")), KVUnavailableError)
         await self.assertFailure(start(self.kv.swap("a", b"1", ABSENT)), KVUnavailableError)
         self.service.switches.outage = False
         assert await self.kv.get("a") is None
 
-    async def test_silence_makes_reads_unavailable_and_writes_unknown(self):
+    async def test_timeout_makes_reads_unavailable_and_writes_unknown(self):
         self.patch(store_module, "CALL_TIMEOUT_S", 0.3)
         self.service.switches.silent = True
         await self.assertFailure(start(self.kv.get("a")), KVUnavailableError)
         await self.assertFailure(start(self.kv.swap("a", b"1", ABSENT)), KVUnknownError)
 
-    async def test_a_call_beyond_the_rate_is_surely_not_taken(self):
+    async def test_rate_limited_write_has_no_effect(self):
         self.service.switches.writes_per_s = 0.0
         await self.assertFailure(start(self.kv.swap("a", b"1", ABSENT)), KVUnavailableError)
         assert await self.kv.get("a") is None
 
-    async def test_keys_end_with_their_lease(self):
+    async def test_keys_are_removed_with_their_lease(self):
         lease = await self.kv.grant_lease(1)
         await self.kv.swap("a", b"1", ABSENT, lease)
         await self.kv.keep_lease(lease)
@@ -125,7 +125,7 @@
         await self.assertFailure(start(self.kv.keep_lease(lease)), KVConflictError)
         await self.assertFailure(start(self.kv.swap("a", b"1", ABSENT, lease)), KVConflictError)
 
-    async def test_a_transaction_does_all_or_nothing(self):
+    async def test_transaction_is_atomic(self):
         revision = await self.kv.swap("a", b"1", ABSENT)
         wrong = {"a": revision, "b": revision}
         failed = start(self.kv.transact(wrong, {"c": b"1"}, ["a"]))
@@ -134,7 +134,7 @@
         await self.kv.transact({"a": revision, "b": ABSENT}, {"c": b"1"}, ["a"])
         assert list(await self.kv.get_prefix("")) == ["c"]
 
-    async def test_a_watch_reports_changes_in_order_and_goes_on_from_there(self):
+    async def test_watch_reports_changes_in_order_and_continues_from_there(self):
         await self.kv.get("a")
         answer = await self.kv.watch("table/", START, 0.01)
         assert answer.changes == ()
@@ -148,7 +148,7 @@
         answer = await self.kv.watch("table/", answer.revision, 5.0)
         assert [(c.key, c.value) for c in answer.changes] == [("table/b", b"2"), ("table/a", None)]
 
-    async def test_a_watch_is_unavailable_when_it_is_cut_and_told_when_history_is_gone(self):
+    async def test_watch_reports_a_lost_connection_and_missing_history(self):
         await self.kv.get("a")
         waiting = start(self.kv.watch("table/", START, 5.0))
         while not self.service._watches:
@@ -160,22 +160,22 @@
         self.service.switches.forget_before = 10
         await self.assertFailure(start(self.kv.watch("table/", START, 5.0)), HistoryGoneError)
 
-    async def test_a_long_list_is_read_page_by_page(self):
+    async def test_long_list_is_read_in_pages(self):
         for number in range(PAGE_ITEMS + 3):
             self.service.write(f"many/{number:04d}", b"x")
         listing = await self.kv.list("many/")
         assert len(listing.items) == PAGE_ITEMS + 3
         assert len({item.key for item in listing.items}) == PAGE_ITEMS + 3
 
-    async def test_what_was_given_in_an_earlier_era_holds_no_more(self):
-        told = []
-        self.kv.on_era.append(lambda before, era: told.append((before, era)))
+    async def test_revisions_and_leases_of_an_earlier_era_are_rejected(self):
+        restores = []
+        self.kv.on_era.append(lambda before, era: restores.append((before, era)))
         revision = await self.kv.swap("a", b"1", ABSENT)
         self.service.keep_copy()
         lease = await self.kv.grant_lease(5)
         self.service.go_back(None)
         assert (await self.kv.get("a")).revision > revision
-        assert told == [(1, 2)]
+        assert restores == [(1, 2)]
         again = await self.kv.grant_lease(5)
         assert again.number == lease.number
         for stale in (
@@ -188,14 +188,14 @@
         await self.assertFailure(start(self.kv.watch("a", revision, 0.1)), HistoryGoneError)
         await self.kv.keep_lease(again)
 
-    async def test_a_refusal_tells_the_era_too(self):
+    async def test_refusal_names_the_era_too(self):
         await self.kv.get("a")
         self.service.go_back(None)
         self.service.switches.reads_per_s = 0.0
         await self.assertFailure(start(self.kv.get("a")), KVUnavailableError)
         assert self.kv.era == 2
 
-    async def test_an_answer_of_an_earlier_era_that_comes_late_is_passed_over(self):
+    async def test_late_response_of_an_earlier_era_is_ignored(self):
         await self.kv.get("a")
         self.service.switches.delay_s = 0.3
         waiting = start(self.kv.get("a"))
--- a/gladedrum/platform/tests/test_words.py
+++ b/gladedrum/platform/tests/test_words.py
@@ -1,4 +1,4 @@
-"""Nothing outside the adapter knows the platform's words."""
+"""Names of the platform's protocols occur only in the adapter."""
 
 import ast
 import re
@@ -10,10 +10,10 @@
 from gladedrum.platform import wire
 
 _ROOT = Path(gladedrum.__file__).parent
-_SPEAKERS = ("platform", "standins")
-"""The adapter, and the stand-ins that speak the platform's side of its protocol."""
+_ALLOWED = ("platform", "standins")
+"""The adapter, and the stand-ins that implement the platform's side of the protocols."""
 
-_WORDS = re.compile(
+_PLATFORM_NAMES = re.compile(
     r"x-gladedrum-|/api/|kv-(key|range|watch|txn|lease|keep)|op/config|servers/|expectedRevision"
     r"|pathPrefix|maxAttempts|latencyTargetMs|allowAnonymous|apiKeys|holdMs|GLADEDRUM_NODE_FILE",
     re.IGNORECASE,
@@ -25,21 +25,21 @@
     return [
         path
         for path in paths
-        if "tests" not in path.parts and path.relative_to(_ROOT).parts[0] not in _SPEAKERS
+        if "tests" not in path.parts and path.relative_to(_ROOT).parts[0] not in _ALLOWED
     ]
 
 
 @pytest.mark.parametrize("path", _sources(), ids=lambda path: str(path.relative_to(_ROOT)))
-def test_no_word_of_the_platform_outside_the_adapter(path):
+def test_module_spells_no_platform_name(path):
     strings = [
         node.value if isinstance(node.value, str) else node.value.decode("latin-1")
         for node in ast.walk(ast.parse(path.read_text()))
         if isinstance(node, ast.Constant) and isinstance(node.value, str | bytes)
     ]
-    assert [text for text in strings if _WORDS.search(text)] == []
+    assert [text for text in strings if _PLATFORM_NAMES.search(text)] == []
 
 
-def test_the_check_knows_the_words():
-    assert _WORDS.search(wire.REQUEST_ID.decode())
-    assert _WORDS.search(wire.STORE_TRANSACTION)
-    assert _WORDS.search(wire.TARGETS_PREFIX)
+def test_pattern_matches_known_names():
+    assert _PLATFORM_NAMES.search(wire.REQUEST_ID.decode())
+    assert _PLATFORM_NAMES.search(wire.STORE_TRANSACTION)
+    assert _PLATFORM_NAMES.search(wire.TARGETS_PREFIX)
--- a/gladedrum/platform/wire.py
+++ b/gladedrum/platform/wire.py
@@ -1,12 +1,12 @@
-"""Names on the platform's wire: headers, paths, keys. Nothing else spells them."""
+"""Names that the platform's protocols define: headers, paths and keys of the store."""
 
 __all__: list[str] = []
 
-# Headers of callers and targets, in lower case as the HTTP library gives them.
+# Headers of requests and responses, in lower case as h11 returns them.
 REQUEST_ID = b"x-gladedrum-request-id"
 DEADLINE_MS = b"x-gladedrum-deadline-ms"
 TOKENS_IN_OUT = b"x-gladedrum-token-usage"
-LENGTH_GUESS = b"length-hint"
+LENGTH_HINT = b"length-hint"
 LAST_EVENT_ID = b"last-event-id"
 ORGANISATION = b"x-gladedrum-tenant"
 EXPECTED_TARGET = b"x-gladedrum-target-instance"
@@ -16,9 +16,9 @@
 LEAVING = b"server-leaving"
 REST = b"retry-after"
 SIGNATURE = b"x-gladedrum-response-seal"
-URGENCY = b"priority"
+PRIORITY = b"priority"
 HELPERS = b"helpers"
-EXPECTED_WEIGHTS = b"expect-version"
+EXPECTED_VERSION = b"expect-version"
 AUTHORIZATION = b"authorization"
 KEY_SCHEME = b"bearer "
 
@@ -34,10 +34,10 @@
 STORE_KEEP = "/api/kv-keep/"
 STORE_LEASE_END = "/api/kv-lease-end/"
 
-# Headers of the store's answers.
+# Headers of the store's responses.
 STORE_ERA = b"store-era"
 
-# Keys of the store that the operator and the targets write.
+# Keys in the store that the operator and the targets write.
 CONFIGURATION_KEY = "op/config"
 CONFIGURATION_PREFIX = "op/"
 TARGETS_PREFIX = "servers/"
