--- a/gladedrum/platform/heads.py
+++ b/gladedrum/platform/heads.py
@@ -1,7 +1,7 @@
 """Translation of HTTP headers of requests and responses.
 
-The ``*Marks`` types hold the metadata that the platform's headers carry, under this package's own
-names and units.
+The types here hold the metadata that the platform's headers carry, under this package's own names
+and units.
 """
 
 from collections.abc import Iterable, Sequence
