--- a/gladedrum/platform/codecs.py
+++ b/gladedrum/platform/codecs.py
@@ -15,8 +15,8 @@
 from ..routes import CallerLimits, Organisation, Route, RouteTable, Service, ServiceShare
 from ..scheduling.engine_model import EngineTraits
 
-__all__ = ["MalformedError", "decode_born", "decode_configuration", "decode_report"]
-__all__ += ["decode_target"]
+__all__ = ["MalformedError", "decode_configuration", "decode_report", "decode_target"]
+__all__ += ["decode_born"]
 
 _MS_PER_S = 1000.0
 
--- a/gladedrum/platform/store.py
+++ b/gladedrum/platform/store.py
@@ -321,7 +321,7 @@
                 raise KVUnknownError(f"{path}: status {reply.status}")
 
     def _note_era(self, reply: JsonReply) -> int:
-        """Return a response's era, else the latest known; call `on_era` if it is a new one."""
+        """Return a response's era, else the latest known; call `on_era` if it is new."""
         text = reply.headers.get(wire.STORE_ERA, b"").strip()
         if not text.isdigit() or len(text) > _MAX_ERA_DIGITS:
             return self.era
