--- a/gladedrum/connections/target_pool.py
+++ b/gladedrum/connections/target_pool.py
@@ -78,7 +78,7 @@
         The number of connections opened so far.
     gate : TargetGate
         Asked right before each send, also after a wait for a connection, because the conditions may
-        have changed since the target was chosen.
+        have changed since the placement.
     """
 
     def __init__(self, reactor: IReactorTime):
