--- a/gladedrum/claims/__init__.py
+++ b/gladedrum/claims/__init__.py
@@ -1,4 +1,9 @@
-"""At most once: requests with an idempotency key are claimed before a byte goes to a target."""
+"""At-most-once execution of requests that carry an idempotency key.
+
+A box claims the key in the key-value service before it sends anything to a target, and records
+the outcome of the request afterwards. A second request with the same key finds that claim and
+does not run.
+"""
 
 from .book import *
 from .book import __all__ as _book_all
--- a/gladedrum/claims/book.py
+++ b/gladedrum/claims/book.py
@@ -1,9 +1,9 @@
-"""The claims of one shard, as they are kept in the key-value service. No I/O.
+"""Data model of the claims in one shard, without I/O.
 
-A shard is a row of buckets. Claims are only written into the newest one, which is small; the
-older ones are sealed and never change, so that whoever has read one may keep it. A bucket is
-sealed before the next one is made. A box that still writes into an older bucket therefore
-meets another revision, and finds the newer claims before it tries again.
+The claims of a shard are stored as a numbered sequence of buckets. Boxes write only to the newest
+bucket, which stays small. Older buckets are sealed: they never change, so readers may cache them.
+A bucket is sealed before the next one is created. A box that still writes to an older bucket
+therefore fails its compare-and-swap, and reads the newer claims before it retries.
 """
 
 from collections.abc import Iterable
@@ -12,11 +12,23 @@
 
 import msgspec
 
-__all__ = ["Book", "Bucket", "Claim", "ClaimState", "Known", "Settle", "Take", "Taken"]
+__all__ = [
+    "Applied",
+    "Bucket",
+    "Claim",
+    "ClaimState",
+    "HeldByOther",
+    "RecordOutcome",
+    "ShardState",
+    "Take",
+]
 
 
 class ClaimState(StrEnum):
-    """What is known of a claimed request."""
+    """Progress or outcome of a claimed request.
+
+    A key whose request is in state NOT_RUN can be claimed again.
+    """
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -26,20 +38,20 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """A claimed key.
+    """The claim of one request on an idempotency key.
 
     Parameters
     ----------
     request_id : str
-        The request that holds it.
+        The request that holds the key.
     box : str
         The box that runs that request.
     body : str
-        A digest of what was asked, to tell another use of the same key.
+        Digest of the request's content; detects reuse of the key for a different request.
     state : ClaimState
-        What is known of it.
+        Last recorded state of the request.
     at_s : float
-        When this was written, in seconds since the epoch.
+        Time of the last write, in seconds since the epoch.
     """
 
     request_id: str
@@ -50,16 +62,16 @@
 
 
 class Bucket(msgspec.Struct):
-    """Some claims of a shard, by digest of their key.
+    """One bucket of a shard's claims.
 
     Parameters
     ----------
     claims : dict of str to Claim
-        A later bucket's claim counts before an earlier one's.
+        Claims by digest of their key. If several buckets hold a key, the newest bucket wins.
     opened_s : float
-        When the bucket was made, in seconds since the epoch.
+        Creation time of the bucket, in seconds since the epoch.
     sealed : bool
-        True if it never changes again.
+        True if the bucket is immutable.
     """
 
     claims: dict[str, Claim] = {}
@@ -68,36 +80,36 @@
 
 
 class Take(NamedTuple):
-    """An operation: claim a key for a request."""
+    """Operation: claim a key for a request."""
 
     key: str
     claim: Claim
 
 
-class Settle(NamedTuple):
-    """An operation: write down what became of a request that holds a key."""
+class RecordOutcome(NamedTuple):
+    """Operation: record the outcome of the request that holds a key."""
 
     key: str
     claim: Claim
 
 
-class Taken(NamedTuple):
-    """The answer to `Take` if the request holds the key."""
+class Applied(NamedTuple):
+    """Result of an operation whose request holds the key."""
 
 
-class Known(NamedTuple):
-    """The answer to `Take` if another request holds the key."""
+class HeldByOther(NamedTuple):
+    """Result of an operation on a key that another request holds."""
 
     claim: Claim
 
 
-class Book:
-    """The buckets of a shard, as far as they are known.
+class ShardState:
+    """The buckets of a shard as last read or written by this box.
 
     Parameters
     ----------
     buckets : dict of int to Bucket
-        By number; the highest is the newest.
+        Buckets by number; the highest number is the newest.
     """
 
     def __init__(self, buckets: dict[int, Bucket]):
@@ -105,27 +117,27 @@
 
     @property
     def newest(self) -> int:
-        """The number of the newest bucket, 0 if there is none."""
+        """Number of the newest bucket, or 0 if there is none."""
         return max(self.buckets, default=0)
 
     def find(self, key: str) -> Claim | None:
-        """Return what is known of a key."""
+        """Return the claim on a key, or None if there is none."""
         for bucket in reversed(self.buckets.values()):
             if key in bucket.claims:
                 return bucket.claims[key]
         return None
 
     def apply(
-        self, operations: Iterable[Take | Settle], now_s: float
-    ) -> tuple[int, Bucket, list[Taken | Known]]:
-        """Work out the newest bucket after some operations; the book itself stays.
+        self, operations: Iterable[Take | RecordOutcome], now_s: float
+    ) -> tuple[int, Bucket, list[Applied | HeldByOther]]:
+        """Compute the newest bucket after some operations, without changing this object.
 
-        Applying the same operations twice has the effect of applying them once.
+        Idempotent: applying the same operations twice has the effect of applying them once.
 
         Returns
         -------
         tuple of int, Bucket and list
-            The number and content of the bucket to write, and an answer for each operation.
+            Number and content of the bucket to write, and one result per operation.
         """
         number, current = self.newest, self.buckets.get(self.newest)
         if current is None or current.sealed:
@@ -134,19 +146,21 @@
         answers = [self._apply_one(operation, claims) for operation in operations]
         return number, Bucket(claims, current.opened_s), answers
 
-    def _apply_one(self, operation: Take | Settle, claims: dict[str, Claim]) -> Taken | Known:
-        known = claims.get(operation.key) or self.find(operation.key)
-        own = known is not None and known.request_id == operation.claim.request_id
+    def _apply_one(
+        self, operation: Take | RecordOutcome, claims: dict[str, Claim]
+    ) -> Applied | HeldByOther:
+        existing = claims.get(operation.key) or self.find(operation.key)
+        same_request = existing is not None and existing.request_id == operation.claim.request_id
         match operation:
             case Take(key=key, claim=claim):
-                if own:
-                    return Taken()
-                if known is not None and known.state != ClaimState.NOT_RUN:
-                    return Known(known)
+                if same_request:
+                    return Applied()
+                if existing is not None and existing.state != ClaimState.NOT_RUN:
+                    return HeldByOther(existing)
                 claims[key] = claim
-                return Taken()
-            case Settle(key=key, claim=claim):
-                if known is not None and not own:
-                    return Known(known)
+                return Applied()
+            case RecordOutcome(key=key, claim=claim):
+                if existing is not None and not same_request:
+                    return HeldByOther(existing)
                 claims[key] = claim
-                return Taken()
+                return Applied()
--- a/gladedrum/claims/core.py
+++ b/gladedrum/claims/core.py
@@ -1,4 +1,4 @@
-"""Claiming of idempotency keys."""
+"""Claims on idempotency keys: acquire a key for a request and record the request's outcome."""
 
 import hashlib
 import logging
@@ -15,18 +15,18 @@
 from ..outcome import Completed, Failed, NotRun, Outcome, Unknown
 from ..platform import StoreClient
 from ..utils import backoff_s, sleep, start
-from .book import Claim, ClaimState, Known, Settle, Take, Taken
+from .book import Applied, Claim, ClaimState, HeldByOther, RecordOutcome, Take
 from .shard import ClaimShard, ShardLimits
 
 __all__ = [
     "CLAIM_RETENTION",
     "CLAIM_SHARDS",
+    "Acquired",
+    "AlreadyClaimed",
     "ClaimAnswer",
+    "ClaimFailed",
     "Claims",
     "DifferentBody",
-    "Held",
-    "Older",
-    "Unclaimed",
 ]
 
 CLAIM_SHARDS = Item(
@@ -39,59 +39,61 @@
 )  # fmt: skip
 
 _PREFIX = "gladedrum/claims"
-_SETTLE_FIRST_S, _SETTLE_LONGEST_S = 0.2, 15.0
-_SETTLE_TRIES = 200
-_UUID_WITH_TIME = 7
+_RECORD_MIN_BACKOFF_S, _RECORD_MAX_BACKOFF_S = 0.2, 15.0
+_MAX_RECORD_ATTEMPTS = 200
+_TIMESTAMPED_UUID_VERSION = 7
 _MS_PER_S = 1_000
 
 _log = logging.getLogger(__name__)
 
 
-class Held(NamedTuple):
-    """The key is claimed for this request, which may run."""
+class Acquired(NamedTuple):
+    """This request holds the key and may run."""
 
 
-class Older(NamedTuple):
-    """Another request holds the key, or the key is older than keys are remembered.
+class AlreadyClaimed(NamedTuple):
+    """Another request holds the key, or the key is older than the retention time.
 
     Parameters
     ----------
     claim : Claim or None
-        What is known of that request; None if the key is too old.
+        The claim of the other request; None if the key is too old.
     """
 
     claim: Claim | None
 
 
 class DifferentBody(NamedTuple):
-    """The key was used for something else."""
+    """The key was already used for a request with different content."""
 
 
-class Unclaimed(NamedTuple):
-    """The key could not be claimed; the request must not run."""
+class ClaimFailed(NamedTuple):
+    """The key-value service did not confirm the claim; the request must not run."""
 
     reason: str
 
 
-ClaimAnswer = Held | Older | DifferentBody | Unclaimed
-"""What claiming a key can lead to."""
+ClaimAnswer = Acquired | AlreadyClaimed | DifferentBody | ClaimFailed
+"""The possible results of `Claims.acquire`."""
 
 
 class Claims:
-    """Claims keys and writes down what became of their requests.
+    """Claims idempotency keys and records the outcomes of their requests.
+
+    Keys are spread over a fixed number of shards by their digest.
 
     Parameters
     ----------
     cfg : Settings
-        Read for the ``[claims]`` section.
+        Source of the ``[claims]`` settings.
     kv : StoreClient
-        The service.
+        Client of the key-value service.
     clock : IReactorTime
-        Where pauses are waited for.
+        Timer for backoff and timeouts.
     box : str
-        The name of this box.
+        Name of this box.
     now_s : callable
-        Returns the time, in seconds since the epoch.
+        Returns the wall-clock time, in seconds since the epoch.
     """
 
     def __init__(
@@ -107,76 +109,82 @@
         self._now_s = now_s
         self._retention_s = cfg.get(CLAIM_RETENTION)
         self._rng = random.Random()
-        self._settling: set[defer.Deferred[None]] = set()
+        self._recording: set[defer.Deferred[None]] = set()
         limits = ShardLimits(retention_s=self._retention_s)
         self._shards = [
             ClaimShard(f"{_PREFIX}/{number}/", kv, now_s, limits)
             for number in range(cfg.get(CLAIM_SHARDS))
         ]
 
-    async def take(self, organisation: str, key: str, body: bytes, request_id: str) -> ClaimAnswer:
+    async def acquire(
+        self, organisation: str, key: str, body: bytes, request_id: str
+    ) -> ClaimAnswer:
         """Claim a key for a request.
 
         Parameters
         ----------
         organisation, key : str
-            Keys of different organisations do not meet.
+            The key, and the organisation that defines its namespace.
         body : bytes
-            What is asked; another use of the same key with another body is refused.
+            Content of the request; reuse of the key with a different body is refused.
         request_id : str
-            The request.
+            The request that claims the key.
         """
         if self._is_too_old(key):
-            return Older(None)
+            return AlreadyClaimed(None)
         digest = _digest(organisation, key)
         claim = self._claim(request_id, body, ClaimState.RUNNING)
         try:
             answer = await self._shard(digest).submit(Take(digest, claim))
         except (KVUnavailableError, KVUnknownError) as exc:
             if isinstance(exc, KVUnknownError):
-                # The claim may stand, though nothing will run under it.
-                self.settle(organisation, key, body, request_id, NotRun("not claimed"))
-            return Unclaimed(f"the key could not be claimed: {exc}")
+                # The claim may have been written. Record that its request never runs.
+                self.record_outcome(organisation, key, body, request_id, NotRun("not claimed"))
+            return ClaimFailed(f"the key could not be claimed: {exc}")
         match answer:
-            case Taken():
-                return Held()
-            case Known(claim=other) if other.body != claim.body:
+            case Applied():
+                return Acquired()
+            case HeldByOther(claim=other) if other.body != claim.body:
                 return DifferentBody()
-            case Known(claim=other):
-                return Older(other)
+            case HeldByOther(claim=other):
+                return AlreadyClaimed(other)
 
-    def settle(
+    def record_outcome(
         self, organisation: str, key: str, body: bytes, request_id: str, outcome: Outcome
     ) -> None:
-        """Write down what became of a request, in the background, until it is done."""
+        """Record the outcome of a request in the background, with retries."""
         digest = _digest(organisation, key)
-        claim = self._claim(request_id, body, _state_of(outcome))
-        task = start(self._settle(digest, claim))
-        self._settling.add(task)
-        task.addBoth(self._note_settled, task)
+        claim = self._claim(request_id, body, _claim_state(outcome))
+        task = start(self._record(digest, claim))
+        self._recording.add(task)
+        task.addBoth(self._on_recorded, task)
 
-    def settled(self, within_s: float) -> defer.Deferred[None]:
-        """Return a deferred that fires once all outcomes are written, or when the time is over.
+    def wait_until_recorded(self, within_s: float) -> defer.Deferred[None]:
+        """Return a deferred that fires once all outcomes are recorded, or after `within_s`.
 
-        For a box that stops: what is not written by then is given up.
+        Used when a box stops. Outcomes that are not recorded by then are lost.
         """
-        done: defer.Deferred = defer.DeferredList(self._settling, consumeErrors=True)
+        done: defer.Deferred = defer.DeferredList(self._recording, consumeErrors=True)
         done.addTimeout(within_s, self._clock, onTimeoutCancel=lambda _result, _s: None)
         return done.addCallback(lambda _results: None)
 
-    def _note_settled(self, result: object, task: defer.Deferred[None]) -> object:
-        self._settling.discard(task)
+    def _on_recorded(self, result: object, task: defer.Deferred[None]) -> object:
+        self._recording.discard(task)
         return result
 
-    async def _settle(self, digest: str, claim: Claim) -> None:
-        for attempt in range(1, _SETTLE_TRIES + 1):
+    async def _record(self, digest: str, claim: Claim) -> None:
+        for attempt in range(1, _MAX_RECORD_ATTEMPTS + 1):
             try:
-                await self._shard(digest).submit(Settle(digest, claim))
+                await self._shard(digest).submit(RecordOutcome(digest, claim))
                 return
             except (KVUnavailableError, KVUnknownError):
-                pause_s = backoff_s(attempt, _SETTLE_FIRST_S, _SETTLE_LONGEST_S, self._rng)
+                pause_s = backoff_s(
+                    attempt, _RECORD_MIN_BACKOFF_S, _RECORD_MAX_BACKOFF_S, self._rng
+                )
                 await sleep(self._clock, pause_s)
-        _log.error("claim not settled", extra={"request_id": claim.request_id})
+        _log.error(
+            "outcome of a claimed request not recorded", extra={"request_id": claim.request_id}
+        )
 
     def _claim(self, request_id: str, body: bytes, state: ClaimState) -> Claim:
         body_digest = hashlib.blake2b(body, digest_size=8).hexdigest()
@@ -186,7 +194,7 @@
         return self._shards[int(digest[:8], 16) % len(self._shards)]
 
     def _is_too_old(self, key: str) -> bool:
-        made_s = _time_in_key(key)
+        made_s = _creation_time_s(key)
         return made_s is not None and self._now_s() - made_s > self._retention_s
 
 
@@ -195,18 +203,18 @@
     return hashlib.blake2b(raw, digest_size=12).hexdigest()
 
 
-def _time_in_key(key: str) -> float | None:
-    """Return when a key was made, if it is a UUID of version 7, which holds that."""
+def _creation_time_s(key: str) -> float | None:
+    """Return the timestamp in a key that is a version 7 UUID, in seconds, else None."""
     try:
         parsed = uuid.UUID(key)
     except ValueError:
         return None
-    if parsed.version != _UUID_WITH_TIME:
+    if parsed.version != _TIMESTAMPED_UUID_VERSION:
         return None
     return (parsed.int >> 80) / _MS_PER_S
 
 
-def _state_of(outcome: Outcome) -> ClaimState:
+def _claim_state(outcome: Outcome) -> ClaimState:
     match outcome:
         case Completed():
             return ClaimState.COMPLETED
--- a/gladedrum/claims/shard.py
+++ b/gladedrum/claims/shard.py
@@ -1,4 +1,7 @@
-"""Writing of claims into the key-value service: one compare-and-swap for all that wait."""
+"""Writes claims to the key-value service.
+
+Operations that arrive during a write are batched into the next compare-and-swap.
+"""
 
 import logging
 from collections.abc import Callable
@@ -10,11 +13,11 @@
 from ..errors import KVConflictError, KVUnavailableError, KVUnknownError
 from ..platform import ABSENT, Revision, StoreClient
 from ..utils import start
-from .book import Book, Bucket, Known, Settle, Take, Taken
+from .book import Applied, Bucket, HeldByOther, RecordOutcome, ShardState, Take
 
 __all__ = ["ClaimShard", "ShardLimits"]
 
-_TRIES = 16
+_MAX_WRITE_ATTEMPTS = 16
 
 _log = logging.getLogger(__name__)
 _encode = msgspec.json.Encoder().encode
@@ -22,16 +25,16 @@
 
 
 class ShardLimits(NamedTuple):
-    """When buckets are sealed and dropped.
+    """Thresholds for sealing and deleting buckets.
 
     Parameters
     ----------
     bucket_claims : int
-        A bucket with so many claims is sealed.
+        Number of claims at which a bucket is sealed.
     bucket_s : float
-        A bucket of this age is sealed, in seconds.
+        Age at which a bucket is sealed, in seconds.
     retention_s : float
-        A sealed bucket of this age is dropped, in seconds.
+        Age of its newest claim at which a sealed bucket is deleted, in seconds.
     """
 
     bucket_claims: int = 512
@@ -40,21 +43,22 @@
 
 
 class ClaimShard:
-    """The claims of one shard, as this box writes them.
+    """This box's writer for the claims of one shard.
 
-    Correct whoever else writes: every write is a compare-and-swap of the newest bucket, and
-    a lost answer is settled by reading back.
+    Safe with concurrent writers on other boxes: every write is a compare-and-swap of the newest
+    bucket. If the response to a write is lost, the shard is read again to find out whether the
+    write took effect.
 
     Parameters
     ----------
     prefix : str
-        The start of the shard's keys.
+        Prefix of the shard's keys in the key-value service.
     kv : StoreClient
-        The service.
+        Client of the key-value service.
     now_s : callable
-        Returns the time, in seconds since the epoch.
+        Returns the wall-clock time, in seconds since the epoch.
     limits : ShardLimits
-        When buckets are sealed and dropped.
+        Thresholds for sealing and deleting buckets.
     """
 
     def __init__(
@@ -64,87 +68,90 @@
         self._kv = kv
         self._now_s = now_s
         self._limits = limits
-        self._book: Book | None = None
+        self._state: ShardState | None = None
         self._revisions: dict[int, Revision] = {}
-        self._waiting: list[tuple[Take | Settle, defer.Deferred[Taken | Known]]] = []
-        self._busy = False
+        self._pending: list[tuple[Take | RecordOutcome, defer.Deferred[Applied | HeldByOther]]] = []
+        self._writing = False
 
-    def submit(self, operation: Take | Settle) -> defer.Deferred[Taken | Known]:
-        """Carry an operation out together with all others that wait.
+    def submit(self, operation: Take | RecordOutcome) -> defer.Deferred[Applied | HeldByOther]:
+        """Queue an operation for the next batch.
 
         Returns
         -------
         Deferred
-            Fires with the answer, or fails with `KVUnavailableError` if the operation surely
-            has no effect, or `KVUnknownError` if nobody can say.
+            Fires with the result. Fails with `KVUnavailableError` if the operation certainly had
+            no effect, and with `KVUnknownError` if it may have had one.
         """
-        answer: defer.Deferred[Taken | Known] = defer.Deferred()
-        self._waiting.append((operation, answer))
-        if not self._busy:
-            self._busy = True
-            start(self._work())
+        answer: defer.Deferred[Applied | HeldByOther] = defer.Deferred()
+        self._pending.append((operation, answer))
+        if not self._writing:
+            self._writing = True
+            start(self._write_batches())
         return answer
 
-    async def _work(self) -> None:
+    async def _write_batches(self) -> None:
         try:
-            while self._waiting:
-                batch, self._waiting = self._waiting, []
+            while self._pending:
+                batch, self._pending = self._pending, []
                 await self._commit(batch)
         finally:
-            self._busy = False
+            self._writing = False
 
     async def _commit(
-        self, batch: list[tuple[Take | Settle, defer.Deferred[Taken | Known]]]
+        self, batch: list[tuple[Take | RecordOutcome, defer.Deferred[Applied | HeldByOther]]]
     ) -> None:
         operations = [operation for operation, _ in batch]
         try:
             answers = await self._write(operations)
         except (KVUnavailableError, KVUnknownError) as exc:
-            self._book = None
+            self._state = None
             _fail(batch, exc)
             return
         except Exception as exc:
-            # Whoever waits must learn of a fault of ours too, or would wait for ever.
+            # An internal error must fail the callers too, or they would wait forever.
             _log.exception("claims not written", extra={"shard": self._prefix})
-            self._book = None
+            self._state = None
             _fail(batch, KVUnknownError(f"a fault in writing claims: {exc!r}"))
             return
         for (_, waiting), answer in zip(batch, answers, strict=True):
             waiting.callback(answer)
 
-    async def _write(self, operations: list[Take | Settle]) -> list[Taken | Known]:
-        """Write until it is known that the operations have taken effect, or cannot."""
+    async def _write(self, operations: list[Take | RecordOutcome]) -> list[Applied | HeldByOther]:
+        """Write the operations, and retry on conflicts and lost responses."""
         in_doubt: KVUnknownError | None = None
-        for _ in range(_TRIES):
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             try:
-                await self._prepare()
-                number, bucket, answers = self._book.apply(operations, self._now_s())
-                if bucket == self._book.buckets.get(number):
-                    # Nothing is new: all keys are known, or a lost answer has been found.
+                await self._load_and_rotate()
+                number, bucket, answers = self._state.apply(operations, self._now_s())
+                if bucket == self._state.buckets.get(number):
+                    # Nothing to write: other requests hold the keys, or an earlier write whose
+                    # response was lost did take effect.
                     return answers
                 await self._swap(number, bucket)
                 return answers
             except KVConflictError:
-                self._book = None
+                self._state = None
             except KVUnknownError as exc:
                 in_doubt = exc
-                self._book = None
+                self._state = None
             except KVUnavailableError:
                 if in_doubt is not None:
                     raise in_doubt from None
                 raise
         raise in_doubt or KVUnavailableError("too many others write the same claims")
 
-    async def _prepare(self) -> None:
-        """Read the shard if it is not known, and seal the newest bucket if it is full."""
-        if self._book is None:
+    async def _load_and_rotate(self) -> None:
+        """Read the shard if it is not cached, and seal the newest bucket if it is full."""
+        if self._state is None:
             rows = await self._kv.get_prefix(self._prefix)
-            self._revisions = {_number(key): row.revision for key, row in rows.items()}
-            self._book = Book({_number(key): _decode(row.value) for key, row in rows.items()})
-        newest = self._book.buckets.get(self._book.newest)
+            self._revisions = {_bucket_number(key): row.revision for key, row in rows.items()}
+            self._state = ShardState(
+                {_bucket_number(key): _decode(row.value) for key, row in rows.items()}
+            )
+        newest = self._state.buckets.get(self._state.newest)
         if newest is None or newest.sealed or not self._is_full(newest):
             return
-        await self._swap(self._book.newest, Bucket(newest.claims, newest.opened_s, sealed=True))
+        await self._swap(self._state.newest, Bucket(newest.claims, newest.opened_s, sealed=True))
         await self._drop_old()
 
     def _is_full(self, bucket: Bucket) -> bool:
@@ -155,31 +162,33 @@
         expected = self._revisions.get(number, ABSENT)
         revision = await self._kv.swap(self._key(number), _encode(bucket), expected)
         self._revisions[number] = revision
-        self._book = Book({**self._book.buckets, number: bucket})
+        self._state = ShardState({**self._state.buckets, number: bucket})
 
     async def _drop_old(self) -> None:
         oldest_s = self._now_s() - self._limits.retention_s
-        for number, bucket in list(self._book.buckets.items()):
+        for number, bucket in list(self._state.buckets.items()):
             newest_s = max((c.at_s for c in bucket.claims.values()), default=bucket.opened_s)
-            if not bucket.sealed or number == self._book.newest or newest_s > oldest_s:
+            if not bucket.sealed or number == self._state.newest or newest_s > oldest_s:
                 return
             try:
                 await self._kv.delete(self._key(number), self._revisions[number])
             except (KVConflictError, KVUnavailableError, KVUnknownError):
-                # The next bucket that is sealed tries again.
+                # Deletion is tried again when the next bucket is sealed.
                 return
-            remaining = {n: b for n, b in self._book.buckets.items() if n != number}
-            self._book = Book(remaining)
-            _log.info("old claims dropped", extra={"shard": self._prefix, "bucket": number})
+            remaining = {n: b for n, b in self._state.buckets.items() if n != number}
+            self._state = ShardState(remaining)
+            _log.info("expired claims deleted", extra={"shard": self._prefix, "bucket": number})
 
     def _key(self, number: int) -> str:
         return f"{self._prefix}{number:010d}"
 
 
-def _fail(batch: list[tuple[Take | Settle, defer.Deferred[Taken | Known]]], exc: Exception) -> None:
+def _fail(
+    batch: list[tuple[Take | RecordOutcome, defer.Deferred[Applied | HeldByOther]]], exc: Exception
+) -> None:
     for _, waiting in batch:
         waiting.errback(exc)
 
 
-def _number(key: str) -> int:
+def _bucket_number(key: str) -> int:
     return int(key.rpartition("/")[2])
--- a/gladedrum/claims/tests/test_interleavings.py
+++ b/gladedrum/claims/tests/test_interleavings.py
@@ -1,8 +1,7 @@
-"""Every order of calls, lost answers and crashes within a bound: a key is held at most once.
+"""Bounded model checking: under every interleaving and fault, at most one request gets a key.
 
-Boxes claim the same key while a scheduler decides which call to the key-value service takes
-effect next and what its caller learns of it. All choices are explored by running the system
-anew for each path of choices.
+Boxes claim the same key while a scheduler chooses which pending call to the key-value service
+takes effect next and whether it fails. Each path of choices is explored in a fresh run.
 """
 
 from collections import Counter
@@ -10,7 +9,15 @@
 import pytest
 from twisted.internet import defer
 
-from gladedrum.claims import Claim, ClaimShard, ClaimState, Settle, ShardLimits, Take, Taken
+from gladedrum.claims import (
+    Applied,
+    Claim,
+    ClaimShard,
+    ClaimState,
+    RecordOutcome,
+    ShardLimits,
+    Take,
+)
 from gladedrum.errors import KVConflictError, KVUnavailableError, KVUnknownError
 from gladedrum.platform import ABSENT, Revision, StoredItem
 
@@ -18,7 +25,7 @@
 
 
 class _FakeKV:
-    """Keeps every call waiting until the scheduler lets it take effect."""
+    """Holds every call pending until the scheduler executes it."""
 
     def __init__(self):
         self.rows, self.revision, self.pending = {}, 0, []
@@ -56,7 +63,7 @@
 
 
 class _Path:
-    """A sequence of choices: a given beginning, then always the first, with note of the rest."""
+    """A sequence of choices: a given prefix, then always option 0; records the options."""
 
     def __init__(self, given):
         self._given, self.taken = given, []
@@ -74,17 +81,17 @@
 
 
 def _run(given, boxes, max_faults, limits, settle_as):
-    """Run one path; returns the path and which boxes were told that they hold the key."""
+    """Run one path; return its choices and the boxes that acquired the key."""
     kv, path = _FakeKV(), _Path(given)
     shards = {b: ClaimShard("claims/0/", kv.client(b), lambda: 0.0, limits) for b in boxes}
     held, faults, crashed = [], 0, set()
 
     def answered(result, box):
-        if isinstance(result, Taken):
+        if isinstance(result, Applied):
             held.append(box)
             if settle_as is not None:
-                settled = Claim(f"request-{box}", box, "body", settle_as, 0.0)
-                shards[box].submit(Settle(_KEY, settled)).addErrback(lambda _f: None)
+                recorded = Claim(f"request-{box}", box, "body", settle_as, 0.0)
+                shards[box].submit(RecordOutcome(_KEY, recorded)).addErrback(lambda _f: None)
 
     for box in boxes:
         answer = shards[box].submit(_take(box))
@@ -126,7 +133,7 @@
 
 
 def _explore(boxes, max_faults, limits, settle_as=None, bound=60_000):
-    """Run every path of choices, depth first; returns how many, and how keys were held."""
+    """Run every path of choices, depth first; yield the boxes that acquired the key."""
     outcomes, runs, given = Counter(), 0, []
     while True:
         taken, held = _run(given, boxes, max_faults, limits, settle_as)
--- a/gladedrum/claims/tests/test_shard.py
+++ b/gladedrum/claims/tests/test_shard.py
@@ -1,4 +1,4 @@
-"""Whoever waits for a claim always gets an answer."""
+"""Every submitted operation gets a result, also after an internal error."""
 
 from gladedrum.claims import Claim, ClaimShard, ClaimState, ShardLimits, Take
 from gladedrum.errors import KVUnknownError
@@ -6,11 +6,11 @@
 
 class _BrokenKV:
     async def get_prefix(self, prefix):
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("internal error")
 
 
-def test_a_fault_in_writing_is_told_to_all_who_wait():
-    """A fault once left them waiting for ever."""
+def test_an_internal_error_fails_all_pending_operations():
+    """Otherwise their callers would wait forever."""
     shard = ClaimShard("claims/0/", _BrokenKV(), lambda: 0.0, ShardLimits())
     claim = Claim("request", "box", "body", ClaimState.RUNNING, 0.0)
     results = []
--- a/gladedrum/entry/attempt.py
+++ b/gladedrum/entry/attempt.py
@@ -18,7 +18,7 @@
     EngineRequest,
     HeldStream,
     Piece,
-    SegmentPlace,
+    SegmentLocation,
     split_prompt,
 )
 from ..telemetry.traces import header_of_span
@@ -28,11 +28,11 @@
 
 __all__ = ["Attempt", "AttemptContext", "Sink"]
 
-_CANCEL_TRIES = 5
-_CANCEL_FIRST_S, _CANCEL_LONGEST_S = 0.2, 5.0
+_MAX_CANCEL_ATTEMPTS = 5
+_CANCEL_MIN_BACKOFF_S, _CANCEL_MAX_BACKOFF_S = 0.2, 5.0
 
-_RESUME_TRIES = 5
-_RESUME_FIRST_S, _RESUME_LONGEST_S = 0.1, 1.0
+_MAX_RESUME_ATTEMPTS = 5
+_RESUME_MIN_BACKOFF_S, _RESUME_MAX_BACKOFF_S = 0.1, 1.0
 """How often an answer that can't be had elsewhere is resumed without a token in between, and after
 which pauses, in seconds: an engine that takes connections again within a second still has it."""
 
@@ -91,7 +91,7 @@
     offset: Callable[[], int]
     on_pieces: Callable[[list[Piece]], None]
     on_dropped: Callable[[str], None]
-    on_trouble: Callable[[Placed, Exception], None]
+    on_target_failure: Callable[[Placed, Exception], None]
 
 
 class Attempt:
@@ -122,7 +122,7 @@
     ):
         self._ctx = ctx
         self._parts = parts
-        self._texts = split_prompt(prompt, [p.job.prompt_tokens for p in parts])
+        self._segment_prompts = split_prompt(prompt, [p.job.prompt_tokens for p in parts])
         self._model = model
         self._max_tokens = max_tokens
         self._may_repeat = may_repeat
@@ -144,14 +144,14 @@
             number = len(self._parts) - 1
             stream = await self._open(span)
         except (TargetUnreachableError, TargetRefusedError) as exc:
-            self._ctx.on_trouble(self._parts[number], exc)
-            return await self._after_refusal(number, exc)
+            self._ctx.on_target_failure(self._parts[number], exc)
+            return await self._after_not_started(number, exc)
         except TargetBrokenError as exc:
-            self._ctx.on_trouble(self._parts[number], exc)
-            lost_head = number == len(self._parts) - 1 and not self._may_repeat
-            resumed, _ = await self._resume_within(0) if lost_head else (None, 0)
+            self._ctx.on_target_failure(self._parts[number], exc)
+            must_resume = number == len(self._parts) - 1 and not self._may_repeat
+            resumed, _ = await self._resume_within(0) if must_resume else (None, 0)
             if resumed is None:
-                return await self._after_break(str(exc))
+                return await self._after_connection_loss(str(exc))
             stream = resumed
         return await self._read(stream)
 
@@ -160,12 +160,12 @@
         for held in self._held:
             held.abort()
         for engine, part in zip(self._engines, self._parts, strict=True):
-            await self._cancel_surely(engine, part)
-            self._let_go(part)
+            await self._cancel_with_retries(engine, part)
+            self._release(part)
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Give back the reservation of a request whose session has ended by itself."""
-        self._let_go(self.last)
+        self._release(self.last)
 
     @property
     def is_segmented(self) -> bool:
@@ -179,7 +179,7 @@
         self._ctx.life.send()
         req = self._request(number, span)
         held = await self._engines[number].hold(req, self._ctx.time_left_s())
-        await self._watched(held.held)
+        await self._wait_while_held(held.held)
         self._held.append(held)
         self._ctx.placer.first_token(self._parts[number])
 
@@ -192,11 +192,11 @@
 
     def _request(self, number: int, span: Span) -> EngineRequest:
         part = self._parts[number]
-        context = tuple(SegmentPlace(p.target.url, p.job.job_id) for p in self._parts[:number])
+        context = tuple(SegmentLocation(p.target.url, p.job.job_id) for p in self._parts[:number])
         return EngineRequest(
             session_id=part.job.job_id,
             model=self._model,
-            prompt=self._texts[number],
+            prompt=self._segment_prompts[number],
             max_tokens=self._max_tokens,
             priority=part.priority,
             owner=self._ctx.box,
@@ -209,49 +209,51 @@
     # Reading.
 
     async def _read(self, stream: AnswerStream) -> Outcome | None:
-        tries, broke_at = 0, -1
+        resumes, broken_offset = 0, -1
         while True:
             self._ctx.sink.attach(stream)
             try:
-                await self._watched(stream.ended)
+                await self._wait_while_held(stream.ended)
                 self._ctx.life.finish()
                 return Completed()
             except TargetBrokenError as exc:
                 stream.abort()
-                self._ctx.on_trouble(self.last, exc)
-                if broke_at != self._ctx.offset():
-                    tries, broke_at = 0, self._ctx.offset()
-                resumed, tries = await self._resume_within(tries)
+                self._ctx.on_target_failure(self.last, exc)
+                if broken_offset != self._ctx.offset():
+                    resumes, broken_offset = 0, self._ctx.offset()
+                resumed, resumes = await self._resume_within(resumes)
                 if resumed is None:
-                    return await self._after_break(str(exc))
+                    return await self._after_connection_loss(str(exc))
                 stream = resumed
 
-    async def _resume_within(self, tries: int) -> tuple[AnswerStream | None, int]:
+    async def _resume_within(self, resumes: int) -> tuple[AnswerStream | None, int]:
         """Resume the session after so many tries without a token; return also the new number.
 
         None if it is gone, would go on without a part of its prompt, or has had its tries: one if
         the request may be repeated elsewhere, else several, since to give it up ends it for good.
         """
-        most = 1 if self._may_repeat else _RESUME_TRIES
-        while tries < most and not self._segment_lost():
-            if tries:
-                pause_s = backoff_s(tries, _RESUME_FIRST_S, _RESUME_LONGEST_S, self._ctx.rng)
+        max_resumes = 1 if self._may_repeat else _MAX_RESUME_ATTEMPTS
+        while resumes < max_resumes and not self._segment_lost():
+            if resumes:
+                pause_s = backoff_s(
+                    resumes, _RESUME_MIN_BACKOFF_S, _RESUME_MAX_BACKOFF_S, self._ctx.rng
+                )
                 await sleep(self._ctx.clock, pause_s)
-            tries += 1
+            resumes += 1
             try:
-                return await self._resume(), tries
+                return await self._resume(), resumes
             except TargetRefusedError:
                 break
             except (TargetUnreachableError, TargetBrokenError):
                 continue
-        return None, tries
+        return None, resumes
 
-    async def _watched(self, wait: defer.Deferred[None]) -> None:
+    async def _wait_while_held(self, wait: defer.Deferred[None]) -> None:
         """Wait for something, but no longer than all earlier segments are held."""
         if not self._held:
             await wait
             return
-        waits = [_copy(wait), *(_copy(held.lost) for held in self._held)]
+        waits = [_shielded(wait), *(_shielded(held.lost) for held in self._held)]
         try:
             result, index = await defer.DeferredList(
                 waits, fireOnOneCallback=True, fireOnOneErrback=True, consumeErrors=True
@@ -275,24 +277,24 @@
 
     # Ends.
 
-    async def _after_refusal(self, number: int, exc: Exception) -> Outcome | None:
+    async def _after_not_started(self, number: int, exc: Exception) -> Outcome | None:
         """Decide after a target did not start its part; earlier segments have been prefilled."""
         if number == 0:
-            self._ctx.life.unstarted()
+            self._ctx.life.not_started()
             return None
-        return await self._after_break(str(exc))
+        return await self._after_connection_loss(str(exc))
 
-    async def _after_break(self, reason: str) -> Outcome | None:
+    async def _after_connection_loss(self, reason: str) -> Outcome | None:
         """Decide what a broken connection means; None if the request may be tried again."""
         started = [await self._started(n) for n in range(len(self._parts))]
         if not any(started):
-            self._ctx.life.unstarted()
+            self._ctx.life.not_started()
             return None
-        self._ctx.life.doubt()
+        self._ctx.life.in_doubt()
         # A prefill alone has no effect that could be had twice; only the last target answers.
         if not started[-1] or self._may_repeat:
             return None
-        match self._ctx.life.lost(reason):
+        match self._ctx.life.outcome_if_ended(reason):
             case Failed(reason=why):
                 return Failed(why, HTTPStatus.BAD_GATEWAY)
             case outcome:
@@ -308,8 +310,8 @@
         except (TargetUnreachableError, TargetBrokenError):
             return True
 
-    async def _cancel_surely(self, engine: EngineClient, part: Placed) -> None:
-        for attempt in range(1, _CANCEL_TRIES + 1):
+    async def _cancel_with_retries(self, engine: EngineClient, part: Placed) -> None:
+        for attempt in range(1, _MAX_CANCEL_ATTEMPTS + 1):
             try:
                 await engine.cancel(part.job.job_id)
                 return
@@ -318,21 +320,23 @@
                 # it comes back, its owner finds the session by its label.
                 return
             except TargetBrokenError:
-                pause_s = backoff_s(attempt, _CANCEL_FIRST_S, _CANCEL_LONGEST_S, self._ctx.rng)
+                pause_s = backoff_s(
+                    attempt, _CANCEL_MIN_BACKOFF_S, _CANCEL_MAX_BACKOFF_S, self._ctx.rng
+                )
                 await sleep(self._ctx.clock, pause_s)
 
-    def _let_go(self, part: Placed) -> None:
+    def _release(self, part: Placed) -> None:
         self._ctx.own_sessions.discard(part.job.job_id)
         self._ctx.placer.release(part)
 
 
-def _copy(wait: defer.Deferred) -> defer.Deferred:
+def _shielded(wait: defer.Deferred) -> defer.Deferred:
     """Return a deferred that fires as `wait` does and may be cancelled without it."""
-    copy: defer.Deferred = defer.Deferred()
+    shielded: defer.Deferred = defer.Deferred()
 
     def pass_on(result: object) -> None:
-        if not copy.called:
-            copy.callback(result)
+        if not shielded.called:
+            shielded.callback(result)
 
     wait.addBoth(pass_on)
-    return copy
+    return shielded
--- a/gladedrum/entry/body.py
+++ b/gladedrum/entry/body.py
@@ -21,9 +21,9 @@
     unit="s", minimum=0.1, maximum=3_600,
 )  # fmt: skip
 
-_IDLE_TIME_S = 60
+_IDLE_TIMEOUT_S = 60
 # A body that is somewhat too large is read to its end, so that the caller sees the answer.
-_DRAINED_BODIES = 4
+_MAX_DISCARD_FACTOR = 4
 
 
 class _BoundedBody(io.BytesIO):
@@ -53,12 +53,14 @@
     def gotLength(self, length: int | None) -> None:
         site: CallerSite = self.channel.site
         self.content = _BoundedBody(site.max_body_bytes)
-        self._timer = site.reactor.callLater(site.body_time_s, self._give_up)
+        self._timer = site.reactor.callLater(site.body_time_s, self._on_body_timeout)
 
     def handleContentChunk(self, data: bytes) -> None:
         super().handleContentChunk(data)
-        if self.content.received_bytes > _DRAINED_BODIES * self.content.limit_bytes:
-            self._cut(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is much too large")
+        if self.content.received_bytes > _MAX_DISCARD_FACTOR * self.content.limit_bytes:
+            self._reject_and_close(
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is much too large"
+            )
 
     def process(self) -> None:
         self._stop_timer()
@@ -77,11 +79,11 @@
         self._stop_timer()
         super().connectionLost(reason)
 
-    def _give_up(self) -> None:
+    def _on_body_timeout(self) -> None:
         self._timer = None
-        self._cut(HTTPStatus.REQUEST_TIMEOUT, "body: did not arrive in time")
+        self._reject_and_close(HTTPStatus.REQUEST_TIMEOUT, "body: did not arrive in time")
 
-    def _cut(self, status: HTTPStatus, message: str) -> None:
+    def _reject_and_close(self, status: HTTPStatus, message: str) -> None:
         self._stop_timer()
         body = _error_body(message)
         head = (
@@ -112,7 +114,7 @@
     """
 
     def __init__(self, reactor, resource, cfg: Settings):
-        super().__init__(resource, requestFactory=_CallerRequest, timeout=_IDLE_TIME_S)
+        super().__init__(resource, requestFactory=_CallerRequest, timeout=_IDLE_TIMEOUT_S)
         self.reactor = reactor
         self.max_body_bytes = cfg.get(MAX_BODY)
         self.body_time_s = cfg.get(BODY_TIME)
--- a/gladedrum/entry/connections.py
+++ b/gladedrum/entry/connections.py
@@ -6,7 +6,7 @@
 
 __all__ = ["CountedConnections"]
 
-_CLOSE_TIME_S = 5.0
+_MAX_CLOSE_S = 5.0
 
 
 class CountedConnections(WrappingFactory):
@@ -25,13 +25,13 @@
     def __init__(self, wrapped: IProtocolFactory, clock: IReactorTime):
         super().__init__(wrapped)
         self._clock = clock
-        self._emptied: defer.Deferred[None] | None = None
+        self._all_closed: defer.Deferred[None] | None = None
 
     def unregisterProtocol(self, p: ProtocolWrapper) -> None:
         """Note that a connection has ended."""
         super().unregisterProtocol(p)
-        if not self.protocols and self._emptied is not None and not self._emptied.called:
-            self._emptied.callback(None)
+        if not self.protocols and self._all_closed is not None and not self._all_closed.called:
+            self._all_closed.callback(None)
 
     def close(self) -> defer.Deferred[None]:
         """Close all connections once what was written to them has left; fires then.
@@ -40,8 +40,8 @@
         """
         if not self.protocols:
             return defer.succeed(None)
-        self._emptied = defer.Deferred()
+        self._all_closed = defer.Deferred()
         for protocol in list(self.protocols):
             protocol.loseConnection()
-        self._emptied.addTimeout(_CLOSE_TIME_S, self._clock)
-        return self._emptied.addErrback(lambda _failure: None)
+        self._all_closed.addTimeout(_MAX_CLOSE_S, self._clock)
+        return self._all_closed.addErrback(lambda _failure: None)
--- a/gladedrum/entry/once.py
+++ b/gladedrum/entry/once.py
@@ -6,10 +6,10 @@
 
 from twisted.internet import defer
 
-from ..claims import Claim, Claims, ClaimState, DifferentBody, Held, Older, Unclaimed
+from ..claims import Acquired, AlreadyClaimed, Claim, ClaimFailed, Claims, ClaimState, DifferentBody
 from ..outcome import Completed, Failed, NotRun, Outcome, Unknown
 
-__all__ = ["RUNNING_RETRY_AFTER_S", "AskRunning", "ClaimedKey", "Duplicate", "run_once"]
+__all__ = ["RUNNING_RETRY_AFTER_S", "AskRunning", "Duplicate", "KeyedRequest", "run_once"]
 
 RUNNING_RETRY_AFTER_S = 5
 """When a second caller should ask again for a request that still runs, in seconds."""
@@ -17,7 +17,7 @@
 _UNCLAIMED_RETRY_AFTER_S = 2.0
 
 
-class ClaimedKey(NamedTuple):
+class KeyedRequest(NamedTuple):
     """An idempotency key and what it is used for.
 
     Parameters
@@ -64,7 +64,7 @@
 
 async def run_once(
     claims: Claims,
-    claimed: ClaimedKey,
+    keyed: KeyedRequest,
     run: Callable[[], Awaitable[Outcome]],
     ask_running: AskRunning,
 ) -> Outcome | Duplicate:
@@ -82,37 +82,37 @@
         See `AskRunning`.
     """
     try:
-        answer = await claims.take(*claimed)
+        answer = await claims.acquire(*keyed)
     except defer.CancelledError:
         # The claim may be written all the same; nothing will run under it.
-        claims.settle(*claimed, NotRun("the caller has gone"))
+        claims.record_outcome(*keyed, NotRun("the caller has gone"))
         raise
     match answer:
-        case Held():
+        case Acquired():
             pass
-        case Unclaimed(reason=reason):
+        case ClaimFailed(reason=reason):
             return NotRun(reason, _UNCLAIMED_RETRY_AFTER_S)
         case DifferentBody():
             reason = "the idempotency key was used for a different request"
             status = HTTPStatus.UNPROCESSABLE_ENTITY
             return Duplicate(Failed(reason, status), "key_reused", status=status)
-        case Older(claim=None):
+        case AlreadyClaimed(claim=None):
             reason = "the idempotency key is older than keys are remembered"
             return Duplicate(Unknown(reason), "key_too_old")
-        case Older(claim=claim):
+        case AlreadyClaimed(claim=claim):
             state = claim.state
-            if state == ClaimState.RUNNING and await _is_lost(claim, ask_running):
+            if state == ClaimState.RUNNING and await _is_orphaned(claim, ask_running):
                 state = ClaimState.UNKNOWN
             return _duplicate(state, claim.request_id)
     outcome: Outcome = Unknown("the run ended without an outcome")
     try:
         outcome = await run()
     finally:
-        claims.settle(*claimed, outcome)
+        claims.record_outcome(*keyed, outcome)
     return outcome
 
 
-async def _is_lost(claim: Claim, ask_running: AskRunning) -> bool:
+async def _is_orphaned(claim: Claim, ask_running: AskRunning) -> bool:
     """Return True if the box of a running request says, or must be taken to say, it is gone."""
     running = await ask_running(claim.box, [claim.request_id])
     return running is not None and claim.request_id not in running
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -28,10 +28,10 @@
 
 __all__ = ["Placed", "Placer"]
 
-_ROUNDS = 4
-_RENEWALS_PER_LAPSE = 4
-_NO_TARGET_RETRY_S = 2.0
-_DISTRUST_S = 3.0
+_MAX_ROUNDS = 4
+_RENEWALS_PER_LIFETIME = 4
+_NO_TARGET_RETRY_AFTER_S = 2.0
+_AVOID_AFTER_FAILURE_S = 3.0
 
 _log = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
     priority: int
 
 
-class _How(NamedTuple):
+class _ReservationOptions(NamedTuple):
     """What all reservations of one request share."""
 
     policy: str
@@ -94,24 +94,24 @@
         self._membership = membership
         self._gateway = gateway
         self._held: dict[str, Placed] = {}
-        self._told: dict[str, str] = {}
+        self._informed_owners: dict[str, str] = {}
         self._hand_over_call: IDelayedCall | None = None
-        self._distrusted_until: dict[str, float] = {}
+        self._avoided_until_s: dict[str, float] = {}
 
-    def can_ever_hold(
+    def can_ever_fit(
         self, model: str, policy_name: str, prompt_tokens: int, output_tokens: int
     ) -> bool:
         """Return False if a policy has no way for a request on all engines of its model."""
         memories = [t.memory_tokens for t in self._membership.directory.engines(model)]
         if not memories:
             return True
-        rule = policy(self._known_policy(policy_name)).segments
+        rule = policy(self._policy_or_default(policy_name)).segments
         count = len(memories)
         return bool(plan_segments(prompt_tokens, output_tokens, min(memories), count, rule))
 
-    def distrust(self, target: str) -> None:
+    def avoid(self, target: str) -> None:
         """Leave a target out for a while, because a request on it has just gone wrong."""
-        self._distrusted_until[target] = self._clock.seconds() + _DISTRUST_S
+        self._avoided_until_s[target] = self._clock.seconds() + _AVOID_AFTER_FAILURE_S
 
     async def place(
         self,
@@ -142,17 +142,17 @@
             One reservation, or one for each segment of a long prompt. Whoever gets them must
             `release` each of them in the end.
         """
-        policy_name = self._known_policy(policy_name)
-        how = _How(policy_name, traceparent)
+        policy_name = self._policy_or_default(policy_name)
+        options = _ReservationOptions(policy_name, traceparent)
         jobs = self._jobs_of(job, model, policy_name)
-        refusal = Refused("no target answers for this model", _NO_TARGET_RETRY_S)
-        asked: frozenset[str] = exclude
-        for _ in range(_ROUNDS):
-            targets = self._candidates(jobs, model, policy_name, asked)
+        refusal = Refused("no target answers for this model", _NO_TARGET_RETRY_AFTER_S)
+        excluded: frozenset[str] = exclude
+        for _ in range(_MAX_ROUNDS):
+            targets = self._candidates(jobs, model, policy_name, excluded)
             if len(targets) < max(1, len(jobs)):
                 break
             quotes = await self._gateway.quotes(targets, jobs[0], policy_name)
-            answer = await self._reserve(jobs, how, targets, quotes)
+            answer = await self._reserve(jobs, options, targets, quotes)
             if isinstance(answer, tuple):
                 return answer
             if answer is None:
@@ -162,14 +162,14 @@
             refusing = {name for name, quote in quotes.items() if quote.refused is not None}
             if not refusing:
                 break
-            asked |= refusing
+            excluded |= refusing
         return refusal
 
     def release(self, placed: Placed) -> None:
         """Give a reservation back."""
         if self._held.pop(placed.job.job_id, None) is None:
             return
-        del self._told[placed.job.job_id]
+        del self._informed_owners[placed.job.job_id]
         self._gateway.release(placed.owner, placed.target, placed.job.job_id)
 
     def first_token(self, placed: Placed) -> None:
@@ -183,7 +183,7 @@
 
     async def run(self) -> None:
         """Renew all reservations from time to time, until cancelled."""
-        interval_s = self._cfg.get(RENEWAL) / _RENEWALS_PER_LAPSE
+        interval_s = self._cfg.get(RENEWAL) / _RENEWALS_PER_LIFETIME
         await repeat(self._clock, interval_s, self._renew)
 
     def _renew(self) -> None:
@@ -195,8 +195,8 @@
         by_target: defaultdict[str, list[Placed]] = defaultdict(list)
         for placed in self._held.values():
             owner = self._membership.owner_of(placed.target)
-            if self._told.get(placed.job.job_id) != owner.name:
-                self._told[placed.job.job_id] = owner.name
+            if self._informed_owners.get(placed.job.job_id) != owner.name:
+                self._informed_owners[placed.job.job_id] = owner.name
                 by_target[placed.target.name].append(placed)
         for held in by_target.values():
             self._gateway.hand_over(held[0].target, [(p.job, p.policy) for p in held])
@@ -215,7 +215,7 @@
         engines = {
             t.name: t
             for t in self._membership.directory.engines(model)
-            if t.name not in exclude and self._distrusted_until.get(t.name, 0.0) <= now_s
+            if t.name not in exclude and self._avoided_until_s.get(t.name, 0.0) <= now_s
         }
         views = [TargetView(t.name, t.memory_tokens) for t in engines.values()]
         names = policy(policy_name).candidates(jobs[0], views, len(jobs))
@@ -224,7 +224,7 @@
     async def _reserve(
         self,
         jobs: list[Job],
-        how: _How,
+        options: _ReservationOptions,
         targets: Iterable[Target],
         quotes: dict[str, Quote],
     ) -> tuple[Placed, ...] | Refused | None:
@@ -236,8 +236,8 @@
         try:
             if len(jobs) > 1:
                 names = reservation_order([t.name for t in accepted[: len(jobs)]])
-                return await self._reserve_all(jobs, how, [by_name[n] for n in names])
-            return await self._reserve_first(jobs[0], how, accepted)
+                return await self._reserve_all(jobs, options, [by_name[n] for n in names])
+            return await self._reserve_first(jobs[0], options, accepted)
         except PeerLostError as exc:
             _log.warning(
                 "owner lost while waiting",
@@ -246,26 +246,26 @@
             return None
 
     async def _reserve_first(
-        self, job: Job, how: _How, targets: Iterable[Target]
+        self, job: Job, options: _ReservationOptions, targets: Iterable[Target]
     ) -> tuple[Placed, ...] | Refused | None:
         """Reserve on the first target that grants."""
         refusals = []
         for target in targets:
-            answer = await self._reserve_one(job, how, target)
+            answer = await self._reserve_one(job, options, target)
             if isinstance(answer, Placed):
                 return (answer,)
             refusals.append(answer)
         return min(refusals, key=lambda r: r.retry_after_s, default=None)
 
     async def _reserve_all(
-        self, jobs: list[Job], how: _How, targets: list[Target]
+        self, jobs: list[Job], options: _ReservationOptions, targets: list[Target]
     ) -> tuple[Placed, ...] | Refused:
         """Reserve on every target, in this order, or on none."""
         parts: list[Placed] = []
         whole = False
         try:
             for job, target in zip(jobs, targets, strict=True):
-                answer = await self._reserve_one(job, how, target)
+                answer = await self._reserve_one(job, options, target)
                 if isinstance(answer, Refused):
                     return answer
                 parts.append(answer)
@@ -276,18 +276,22 @@
                 for part in parts:
                     self.release(part)
 
-    async def _reserve_one(self, job: Job, how: _How, target: Target) -> Placed | Refused:
-        owner, answer = await self._gateway.reserve(target, job, how.policy, how.traceparent)
+    async def _reserve_one(
+        self, job: Job, options: _ReservationOptions, target: Target
+    ) -> Placed | Refused:
+        owner, answer = await self._gateway.reserve(
+            target, job, options.policy, options.traceparent
+        )
         if isinstance(answer, Refused):
             return answer
-        return self._hold(Placed(job, how.policy, target, owner, answer.priority))
+        return self._hold(Placed(job, options.policy, target, owner, answer.priority))
 
     def _hold(self, placed: Placed) -> Placed:
         self._held[placed.job.job_id] = placed
-        self._told[placed.job.job_id] = placed.owner.name
+        self._informed_owners[placed.job.job_id] = placed.owner.name
         return placed
 
-    def _known_policy(self, name: str) -> str:
+    def _policy_or_default(self, name: str) -> str:
         try:
             return policy(name).name
         except UnknownPolicyError:
--- a/gladedrum/entry/requests.py
+++ b/gladedrum/entry/requests.py
@@ -10,7 +10,7 @@
 
 from ..errors import Finding, GladedrumError
 
-__all__ = ["BadRequestError", "CallerRequest", "Headers", "RequestKind", "parse_completion"]
+__all__ = ["BadRequestError", "CallerRequest", "HeaderLookup", "RequestKind", "parse_completion"]
 
 ORGANISATION_HEADER = "gladedrum-organisation"
 CLASS_HEADER = "gladedrum-class"
@@ -24,7 +24,7 @@
 _MAX_NAME_LENGTH = 128
 _MAX_KEY_LENGTH = 255
 
-Headers = Callable[[str], str | None]
+HeaderLookup = Callable[[str], str | None]
 """Looks a request header up by its lower-case name."""
 
 
@@ -88,15 +88,15 @@
     traceparent: str
 
 
-class _Checker:
+class _RequestReader:
     """Reads fields and collects what is wrong with them."""
 
-    def __init__(self, body: Mapping[str, Any], headers: Headers):
+    def __init__(self, body: Mapping[str, Any], headers: HeaderLookup):
         self.findings: list[Finding] = []
         self._body = body
         self._headers = headers
 
-    def finding(self, place: str, message: str) -> None:
+    def add_finding(self, place: str, message: str) -> None:
         self.findings.append(Finding(place, message))
 
     def integer(self, field: str, default: int, least: int, most: int) -> int:
@@ -104,23 +104,23 @@
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int):
-            self.finding(field, "must be an integer")
+            self.add_finding(field, "must be an integer")
             return default
         if not least <= value <= most:
-            self.finding(field, f"must be from {least} to {most}, not {value}")
+            self.add_finding(field, f"must be from {least} to {most}, not {value}")
             return default
         return value
 
     def boolean(self, field: str) -> bool:
         value = self._body.get(field)
         if value is not None and not isinstance(value, bool):
-            self.finding(field, "must be true or false")
+            self.add_finding(field, "must be true or false")
         return value is True
 
     def text(self, field: str) -> str:
         value = self._body.get(field)
         if not isinstance(value, str) or not value:
-            self.finding(field, "must be a string that is not empty")
+            self.add_finding(field, "must be a string that is not empty")
             return ""
         return value
 
@@ -131,7 +131,7 @@
         usable = value.isprintable() and 0 < len(value) <= _MAX_NAME_LENGTH
         if not usable or any(c.isspace() or c in ":/" for c in value):
             message = f"must have 1 to {_MAX_NAME_LENGTH} characters, no space, ':' or '/'"
-            self.finding(f"header {header}", message)
+            self.add_finding(f"header {header}", message)
             return default
         return value
 
@@ -144,7 +144,7 @@
         except ValueError:
             seconds = float("nan")
         if not 0 < seconds < float("inf"):
-            self.finding(f"header {header}", "must be a number of seconds greater than 0")
+            self.add_finding(f"header {header}", "must be a number of seconds greater than 0")
             return None
         return seconds
 
@@ -153,7 +153,7 @@
         if value is None:
             return None
         if value.lower() not in ("yes", "no"):
-            self.finding(f"header {header}", "must be yes or no")
+            self.add_finding(f"header {header}", "must be yes or no")
             return None
         return value.lower() == "yes"
 
@@ -163,11 +163,13 @@
             return ""
         if not value.isprintable() or not 0 < len(value) <= _MAX_KEY_LENGTH:
             message = f"must have 1 to {_MAX_KEY_LENGTH} printable characters"
-            self.finding(f"header {header}", message)
+            self.add_finding(f"header {header}", message)
         return value
 
 
-def parse_completion(kind: str, raw: bytes, headers: Headers, organisation: str) -> CallerRequest:
+def parse_completion(
+    kind: str, raw: bytes, headers: HeaderLookup, organisation: str
+) -> CallerRequest:
     """Check a request for a completion.
 
     Parameters
@@ -186,36 +188,36 @@
     BadRequestError
         With all findings.
     """
-    checker = _Checker(_json_object(raw), headers)
-    body = checker._body
+    reader = _RequestReader(_json_object(raw), headers)
+    body = reader._body
     is_chat = kind == RequestKind.CHAT
-    model = checker.text("model")
-    prompt = _chat_prompt(checker) if is_chat else _plain_prompt(checker)
+    model = reader.text("model")
+    prompt = _chat_prompt(reader) if is_chat else _plain_prompt(reader)
     limit_field = "max_tokens"
     if is_chat and body.get("max_completion_tokens") is not None:
         limit_field = "max_completion_tokens"
-    if checker.integer("n", 1, 1, 128) != 1:
-        checker.finding("n", "only 1 is served")
+    if reader.integer("n", 1, 1, 128) != 1:
+        reader.add_finding("n", "only 1 is served")
     options = body.get("stream_options") or {}
     if not isinstance(options, dict):
-        checker.finding("stream_options", "must be an object")
+        reader.add_finding("stream_options", "must be an object")
         options = {}
     req = CallerRequest(
         kind=kind,
         model=model,
         prompt=prompt,
-        max_tokens=checker.integer(limit_field, _DEFAULT_MAX_TOKENS, 1, _MAX_OUTPUT_TOKENS),
-        stream=checker.boolean("stream"),
+        max_tokens=reader.integer(limit_field, _DEFAULT_MAX_TOKENS, 1, _MAX_OUTPUT_TOKENS),
+        stream=reader.boolean("stream"),
         include_usage=options.get("include_usage") is True,
         organisation=organisation,
-        request_class=checker.name_header(CLASS_HEADER, DEFAULT_CLASS),
-        timeout_s=checker.seconds_header(TIMEOUT_HEADER),
-        may_repeat=checker.flag_header(MAY_REPEAT_HEADER),
-        idempotency_key=checker.key_header(IDEMPOTENCY_HEADER),
+        request_class=reader.name_header(CLASS_HEADER, DEFAULT_CLASS),
+        timeout_s=reader.seconds_header(TIMEOUT_HEADER),
+        may_repeat=reader.flag_header(MAY_REPEAT_HEADER),
+        idempotency_key=reader.key_header(IDEMPOTENCY_HEADER),
         traceparent=headers("traceparent") or "",
     )
-    if checker.findings:
-        raise BadRequestError(checker.findings)
+    if reader.findings:
+        raise BadRequestError(reader.findings)
     return req
 
 
@@ -229,46 +231,46 @@
     return body
 
 
-def _plain_prompt(checker: _Checker) -> str:
-    prompt = checker._body.get("prompt")
+def _plain_prompt(reader: _RequestReader) -> str:
+    prompt = reader._body.get("prompt")
     if isinstance(prompt, list) and len(prompt) == 1:
         prompt = prompt[0]
     if not isinstance(prompt, str) or not prompt:
-        checker.finding("prompt", "must be one string that is not empty")
+        reader.add_finding("prompt", "must be one string that is not empty")
         return ""
-    return _encodable(checker, "prompt", prompt)
+    return _encodable(reader, "prompt", prompt)
 
 
-def _chat_prompt(checker: _Checker) -> str:
-    messages = checker._body.get("messages")
+def _chat_prompt(reader: _RequestReader) -> str:
+    messages = reader._body.get("messages")
     if not isinstance(messages, list) or not messages:
-        checker.finding("messages", "must be an array that is not empty")
+        reader.add_finding("messages", "must be an array that is not empty")
         return ""
-    return "".join(_message_text(checker, n, message) for n, message in enumerate(messages))
+    return "".join(_message_text(reader, n, message) for n, message in enumerate(messages))
 
 
-def _message_text(checker: _Checker, number: int, message: Any) -> str:
+def _message_text(reader: _RequestReader, number: int, message: Any) -> str:
     place = f"messages[{number}]"
     if not isinstance(message, dict):
-        checker.finding(place, "must be an object")
+        reader.add_finding(place, "must be an object")
         return ""
     role = message.get("role")
     if not isinstance(role, str) or not role:
-        checker.finding(f"{place}.role", "must be a string that is not empty")
+        reader.add_finding(f"{place}.role", "must be a string that is not empty")
     content = message.get("content")
     if isinstance(content, list):
         parts = [p.get("text") if isinstance(p, dict) else None for p in content]
         content = "".join(parts) if all(isinstance(p, str) for p in parts) else None
     if not isinstance(content, str):
-        checker.finding(f"{place}.content", "must be a string or an array of text parts")
+        reader.add_finding(f"{place}.content", "must be a string or an array of text parts")
         return ""
-    return f"<|{role}|>\n{_encodable(checker, place, content)}\n"
+    return f"<|{role}|>\n{_encodable(reader, place, content)}\n"
 
 
-def _encodable(checker: _Checker, place: str, text: str) -> str:
+def _encodable(reader: _RequestReader, place: str, text: str) -> str:
     try:
         text.encode()
     except UnicodeEncodeError:
-        checker.finding(place, "holds a lone surrogate, which no encoding can carry")
+        reader.add_finding(place, "holds a lone surrogate, which no encoding can carry")
         return ""
     return text
--- a/gladedrum/entry/responses.py
+++ b/gladedrum/entry/responses.py
@@ -22,8 +22,8 @@
 __all__ = [
     "OUTCOME_HEADER",
     "REQUEST_ID_HEADER",
+    "BufferedSink",
     "StreamSink",
-    "WholeSink",
     "finish_duplicate",
     "finish_json",
     "finish_outcome",
@@ -33,7 +33,7 @@
 REQUEST_ID_HEADER = b"gladedrum-request-id"
 OUTCOME_HEADER = b"gladedrum-outcome"
 
-_TEXT_MARK = "\x00text\x00"
+_TEXT_PLACEHOLDER = "\x00text\x00"
 _DONE = b"data: [DONE]\n\n"
 _CHUNK_OBJECTS = {
     RequestKind.COMPLETION: "text_completion",
@@ -119,8 +119,8 @@
         self._started = False
         self._paused = False
         self._head = _chunk_head(request_id, req)
-        sample = self._render(_TEXT_MARK, None, first=False).decode()
-        self._before_text, _, self._after_text = sample.partition(json.dumps(_TEXT_MARK))
+        sample = self._render(_TEXT_PLACEHOLDER, None, first=False).decode()
+        self._before_text, _, self._after_text = sample.partition(json.dumps(_TEXT_PLACEHOLDER))
 
     def attach(self, stream: AnswerStream) -> None:
         """Take note of the stream that is paused while the caller reads slowly."""
@@ -196,7 +196,7 @@
         return _sse({**self._head, "choices": [choice]})
 
 
-class WholeSink:
+class BufferedSink:
     """Collects the pieces and sends the answer in one response.
 
     Parameters are those of `StreamSink`.
--- a/gladedrum/entry/retries.py
+++ b/gladedrum/entry/retries.py
@@ -14,23 +14,23 @@
     Examples
     --------
     >>> budget = RetryBudget(reserve=1)
-    >>> budget.take(), budget.take()
+    >>> budget.try_withdraw(), budget.try_withdraw()
     (True, False)
-    >>> budget.note_first_try(0.5); budget.note_first_try(0.5); budget.take()
+    >>> budget.note_first_attempt(0.5); budget.note_first_attempt(0.5); budget.try_withdraw()
     True
     """
 
     def __init__(self, reserve: float = 10.0):
         self._reserve = reserve
-        self._left = reserve
+        self._balance = reserve
 
-    def note_first_try(self, share: float) -> None:
+    def note_first_attempt(self, share: float) -> None:
         """Count a first try, for which `share` retries are allowed."""
-        self._left = min(self._reserve, self._left + share)
+        self._balance = min(self._reserve, self._balance + share)
 
-    def take(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Take one retry out of the budget; False if there is none."""
-        if self._left < 1:
+        if self._balance < 1:
             return False
-        self._left -= 1
+        self._balance -= 1
         return True
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -28,8 +28,8 @@
 
 _log = logging.getLogger(__name__)
 
-_MAX_TRIES = 4
-_RETRY_FIRST_S, _RETRY_LONGEST_S = 0.05, 1.0
+_MAX_ATTEMPTS = 4
+_RETRY_MIN_BACKOFF_S, _RETRY_MAX_BACKOFF_S = 0.05, 1.0
 
 
 @dataclass
@@ -100,7 +100,7 @@
         req: CallerRequest,
         prompt_tokens: int,
         prefix: tuple[int, ...],
-        knobs: Effective,
+        params: Effective,
         sink: Sink,
     ):
         self._ctx = ctx
@@ -108,17 +108,17 @@
         self._req = req
         self._prompt_tokens = prompt_tokens
         self._prefix = prefix
-        self._knobs = knobs
+        self._params = params
         self._sink = sink
         self._life = new_lifecycle()
         self._offset = 0
-        self._tries = 0
+        self._attempts = 0
         self._arrival_s = ctx.now_s()
-        self._deadline_s = self._arrival_s + self._time_s()
+        self._deadline_s = self._arrival_s + self._time_limit_s()
         self._last_piece_s: float | None = None
         # The reservation whose owner has yet to be told of the first token.
-        self._untold: Placed | None = None
-        self._in_trouble: frozenset[str] = frozenset()
+        self._awaiting_first_token: Placed | None = None
+        self._failed_targets: frozenset[str] = frozenset()
         self._log = request_logger(_log, request_id)
         self._attempt_context = AttemptContext(
             box=ctx.box,
@@ -131,9 +131,9 @@
             sink=sink,
             time_left_s=lambda: self._deadline_s - ctx.now_s(),
             offset=lambda: self._offset,
-            on_pieces=self._take_pieces,
-            on_dropped=self._dropped,
-            on_trouble=self._note_trouble,
+            on_pieces=self._on_pieces,
+            on_dropped=self._on_dropped,
+            on_target_failure=self._on_target_failure,
         )
 
     @property
@@ -153,33 +153,33 @@
             span.set_attribute("gladedrum.request_id", self._id)
             span.set_attribute("gladedrum.prompt_tokens", self._prompt_tokens)
             try:
-                outcome = await self._run_in_time(span)
+                outcome = await self._run_with_deadline(span)
             except defer.CancelledError:
-                outcome = self._life.lost("the caller has gone")
+                outcome = self._life.outcome_if_ended("the caller has gone")
             except Exception:
                 self._log.exception("request failed by a fault of ours")
-                outcome = self._life.lost("a fault in the serving layer")
+                outcome = self._life.outcome_if_ended("a fault in the serving layer")
             finally:
                 self._ctx.metrics.in_flight.dec()
             span.set_attribute("gladedrum.outcome", outcome_name(outcome))
         self._ctx.metrics.outcomes.labels(outcome_name(outcome), length).inc()
-        self._report(outcome)
+        self._log_end(outcome)
         return outcome
 
-    def _time_s(self) -> float:
-        knobs = self._knobs
-        longest_s = knobs.number("max_deadline_s")
+    def _time_limit_s(self) -> float:
+        params = self._params
+        longest_s = params.number("max_deadline_s")
         if self._req.timeout_s is not None:
             return min(self._req.timeout_s, longest_s)
-        per_token_s = knobs.number("deadline_s_per_1k") / 1_000
-        return min(knobs.number("deadline_s") + per_token_s * self._prompt_tokens, longest_s)
+        per_token_s = params.number("deadline_s_per_1k") / 1_000
+        return min(params.number("deadline_s") + per_token_s * self._prompt_tokens, longest_s)
 
-    async def _run_in_time(self, span: Span) -> Outcome:
+    async def _run_with_deadline(self, span: Span) -> Outcome:
         try:
             left_s = self._deadline_s - self._ctx.now_s()
-            return await with_timeout(self._ctx.clock, left_s, self._try_until_done(span))
+            return await with_timeout(self._ctx.clock, left_s, self._attempt_until_done(span))
         except TimeoutError:
-            match self._life.lost("its time is up"):
+            match self._life.outcome_if_ended("its time is up"):
                 case Failed(reason=reason):
                     return Failed(reason, HTTPStatus.GATEWAY_TIMEOUT)
                 case Unknown(reason=reason):
@@ -187,25 +187,29 @@
                 case outcome:
                     return outcome
 
-    async def _try_until_done(self, span: Span) -> Outcome:
+    async def _attempt_until_done(self, span: Span) -> Outcome:
         excluded: frozenset[str] = frozenset()
-        self._ctx.retries.note_first_try(self._knobs.number("retry_share"))
+        self._ctx.retries.note_first_attempt(self._params.number("retry_share"))
         while True:
-            self._tries += 1
+            self._attempts += 1
             parts = await self._place(excluded, span)
             if isinstance(parts, Refused):
-                return self._refused(parts)
+                return self._refusal_outcome(parts)
             outcome = await self._attempt(parts, span)
             if outcome is not None:
                 return outcome
-            excluded = self._in_trouble
-            if self._tries >= _MAX_TRIES or not self._ctx.retries.take():
-                return self._life.lost("the targets did not serve it, and no retry is left")
-            pause_s = backoff_s(self._tries, _RETRY_FIRST_S, _RETRY_LONGEST_S, self._ctx.rng)
+            excluded = self._failed_targets
+            if self._attempts >= _MAX_ATTEMPTS or not self._ctx.retries.try_withdraw():
+                return self._life.outcome_if_ended(
+                    "the targets did not serve it, and no retry is left"
+                )
+            pause_s = backoff_s(
+                self._attempts, _RETRY_MIN_BACKOFF_S, _RETRY_MAX_BACKOFF_S, self._ctx.rng
+            )
             await sleep(self._ctx.clock, pause_s)
 
-    def _refused(self, refused: Refused) -> Outcome:
-        match self._life.lost(refused.reason):
+    def _refusal_outcome(self, refused: Refused) -> Outcome:
+        match self._life.outcome_if_ended(refused.reason):
             case NotRun(reason=reason):
                 return NotRun(reason, refused.retry_after_s)
             case outcome:
@@ -213,14 +217,14 @@
 
     async def _place(self, excluded: frozenset[str], span: Span) -> tuple[Placed, ...] | Refused:
         job = Job(
-            job_id=f"{self._id}.{self._tries}",
+            job_id=f"{self._id}.{self._attempts}",
             organisation=self._req.organisation,
             request_class=self._req.request_class,
             prompt_tokens=self._prompt_tokens,
             output_tokens=self._req.max_tokens,
             arrival_s=self._arrival_s,
             deadline_s=self._deadline_s,
-            weight=self._knobs.number("weight"),
+            weight=self._params.number("weight"),
             prefix=self._prefix,
             entry_box=self._ctx.box,
         )
@@ -228,7 +232,7 @@
             parts = await self._ctx.placer.place(
                 job,
                 self._req.model,
-                self._knobs.name("policy"),
+                self._params.name("policy"),
                 excluded,
                 header_of_span(place_span),
             )
@@ -240,7 +244,7 @@
 
     async def _attempt(self, parts: tuple[Placed, ...], span: Span) -> Outcome | None:
         """Run the request on its targets; None if others may be tried."""
-        self._untold = parts[-1]
+        self._awaiting_first_token = parts[-1]
         attempt = Attempt(
             self._attempt_context,
             parts,
@@ -258,7 +262,7 @@
             return outcome
         finally:
             if completed and not attempt.is_segmented:
-                attempt.let_go()
+                attempt.release()
             else:
                 start(attempt.clean_up())
 
@@ -267,9 +271,9 @@
             return False
         if self._req.may_repeat is not None:
             return self._req.may_repeat
-        return self._knobs.flag("may_repeat")
+        return self._params.flag("may_repeat")
 
-    def _take_pieces(self, pieces: list[Piece]) -> None:
+    def _on_pieces(self, pieces: list[Piece]) -> None:
         now_s = self._ctx.now_s()
         if self._last_piece_s is None:
             length = length_class(self._prompt_tokens)
@@ -278,26 +282,26 @@
         else:
             between_s = (now_s - self._last_piece_s) / len(pieces)
             self._ctx.metrics.between_tokens_s.observe(between_s)
-        if self._untold is not None:
-            self._ctx.placer.first_token(self._untold)
-            self._untold = None
+        if self._awaiting_first_token is not None:
+            self._ctx.placer.first_token(self._awaiting_first_token)
+            self._awaiting_first_token = None
         self._last_piece_s = now_s
         self._offset = pieces[-1].offset + 1
         self._sink.pieces(pieces)
 
-    def _dropped(self, why: str) -> None:
+    def _on_dropped(self, why: str) -> None:
         self._ctx.metrics.dropped_pieces.labels(why).inc()
 
-    def _note_trouble(self, placed: Placed, exc: Exception) -> None:
+    def _on_target_failure(self, placed: Placed, exc: Exception) -> None:
         self._log.warning(
             "trouble with a target",
             extra={"target": placed.target.name, "reason": str(exc), "offset": self._offset},
         )
-        self._in_trouble |= {placed.target.name}
+        self._failed_targets |= {placed.target.name}
         if not isinstance(exc, TargetRefusedError):
-            self._ctx.placer.distrust(placed.target.name)
+            self._ctx.placer.avoid(placed.target.name)
 
-    def _report(self, outcome: Outcome) -> None:
+    def _log_end(self, outcome: Outcome) -> None:
         self._log.info(
             "request ended",
             extra={
@@ -307,7 +311,7 @@
                 "class": self._req.request_class,
                 "prompt_tokens": self._prompt_tokens,
                 "answer_tokens": self._offset,
-                "tries": self._tries,
+                "tries": self._attempts,
                 "seconds": round(self._ctx.now_s() - self._arrival_s, 4),
             },
         )
--- a/gladedrum/entry/services.py
+++ b/gladedrum/entry/services.py
@@ -18,7 +18,7 @@
 
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 _RETRY_AFTER_S = 2.0
-_NO_LENGTH = "service"
+_LENGTH_LABEL = "service"
 
 _log = logging.getLogger(__name__)
 
@@ -80,7 +80,7 @@
         self._client = client
         self._metrics = metrics
         self._traces = traces
-        self._under_way: Counter[str] = Counter()
+        self._in_flight: Counter[str] = Counter()
 
     def knows(self, service: str) -> bool:
         """Return True if any target provides the service."""
@@ -98,7 +98,7 @@
             }
             answer = await self._try_targets(call, headers)
         name = "completed" if isinstance(answer, ServiceReply) else outcome_name(answer)
-        self._metrics.outcomes.labels(name, _NO_LENGTH).inc()
+        self._metrics.outcomes.labels(name, _LENGTH_LABEL).inc()
         log.info("service call ended", extra={"outcome": name, "service": call.service})
         return answer
 
@@ -106,8 +106,8 @@
         self, call: ServiceCall, headers: dict[str, str]
     ) -> ServiceReply | Outcome:
         answer: ServiceReply | Outcome = NotRun("no target provides the service", _RETRY_AFTER_S)
-        for target in self._in_order(call.service):
-            self._under_way[target.name] += 1
+        for target in self._least_loaded_first(call.service):
+            self._in_flight[target.name] += 1
             try:
                 return await self._client.call(
                     call.method, _url(target, call), headers, call.body, call.timeout_s
@@ -119,13 +119,13 @@
                 if not call.may_repeat and call.method not in _SAFE_METHODS:
                     return answer
             finally:
-                self._under_way[target.name] -= 1
+                self._in_flight[target.name] -= 1
         return answer
 
-    def _in_order(self, service: str) -> list[Target]:
+    def _least_loaded_first(self, service: str) -> list[Target]:
         targets = self._membership.directory.services(service)
         random.shuffle(targets)
-        return sorted(targets, key=lambda t: self._under_way[t.name])
+        return sorted(targets, key=lambda t: self._in_flight[t.name])
 
 
 def _url(target: Target, call: ServiceCall) -> str:
--- a/gladedrum/entry/site.py
+++ b/gladedrum/entry/site.py
@@ -17,7 +17,7 @@
 from ..table import Table
 from ..targets import BYTES_PER_TOKEN, ServiceReply, estimate_tokens, prefix_digests
 from ..utils import start
-from .once import AskRunning, ClaimedKey, Duplicate, run_once
+from .once import AskRunning, Duplicate, KeyedRequest, run_once
 from .requests import (
     IDEMPOTENCY_HEADER,
     MAY_REPEAT_HEADER,
@@ -31,8 +31,8 @@
 from .responses import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
+    BufferedSink,
     StreamSink,
-    WholeSink,
     finish_duplicate,
     finish_json,
     finish_outcome,
@@ -56,10 +56,10 @@
 API_KEYS = Item("entry", "api_keys", (), "The API keys, each as KEY:ORGANISATION.", secret=True)
 
 ANONYMOUS = "anonymous"
-_DEFAULT_SERVICE_TIME_S = 30.0
+_DEFAULT_SERVICE_TIMEOUT_S = 30.0
 _DRAIN_RETRY_AFTER_S = 1.0
 
-_SETTLED_WITHIN_S = 5.0
+_MAX_RECORDING_S = 5.0
 """How long a stop waits until the outcomes of claimed requests are written, in seconds: a sound
 store takes milliseconds, and a claim without its outcome is in doubt for as long as it is kept."""
 
@@ -104,10 +104,10 @@
         self._ask_running = ask_running
         self._table = table
         self._bytes_per_token = cfg.get(BYTES_PER_TOKEN)
-        self._by_key = cfg.get(IDENTIFY_BY) == "api_key"
+        self._by_api_key = cfg.get(IDENTIFY_BY) == "api_key"
         pairs = (pair.partition(":") for pair in cfg.get(API_KEYS))
         self._organisations = {key: organisation for key, _, organisation in pairs}
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
         # Random, so that ids of a box that was restarted under its old name are new.
         self._id_prefix = f"{ctx.box}-{secrets.token_hex(4)}"
         self._draining = False
@@ -118,7 +118,9 @@
         """Take no new requests; fires once those in flight have ended and are written down."""
         self._draining = True
         self._drained = defer.Deferred() if self._in_flight else defer.succeed(None)
-        return self._drained.addCallback(lambda _none: self._claims.settled(_SETTLED_WITHIN_S))
+        return self._drained.addCallback(
+            lambda _none: self._claims.wait_until_recorded(_MAX_RECORDING_S)
+        )
 
     @app.route("/v1/completions", methods=["POST"])
     def completions(self, request: Request):
@@ -144,7 +146,7 @@
     def service(self, request: Request, service: str, path: str = ""):
         """Pass a call on to a plain service."""
         request_id = self._new_id()
-        if self._refuses(request, request_id):
+        if self._refuse_if_draining(request, request_id):
             return None
         if not self._services.knows(service):
             finish_outcome(request, request_id, no_such_service(service))
@@ -157,7 +159,7 @@
             query=request.uri.partition(b"?")[2].decode("latin-1"),
             content_type=_header(request, "content-type") or "application/octet-stream",
             body=request.content.read(),
-            timeout_s=_seconds(_header(request, TIMEOUT_HEADER), _DEFAULT_SERVICE_TIME_S),
+            timeout_s=_seconds(_header(request, TIMEOUT_HEADER), _DEFAULT_SERVICE_TIMEOUT_S),
             may_repeat=_header(request, MAY_REPEAT_HEADER) == "yes",
             traceparent=_header(request, "traceparent") or "",
         )
@@ -174,7 +176,7 @@
 
     def _complete(self, request: Request, kind: str):
         request_id = self._new_id()
-        if self._refuses(request, request_id):
+        if self._refuse_if_draining(request, request_id):
             return None
         organisation = self._organisation(request)
         if organisation is None:
@@ -192,7 +194,7 @@
             return None
         prompt = req.prompt.encode()
         prompt_tokens = estimate_tokens(len(prompt), self._bytes_per_token)
-        if self._impossible(request, request_id, req, prompt_tokens):
+        if self._refuse_if_impossible(request, request_id, req, prompt_tokens):
             return None
         prefix = prefix_digests(prompt, self._bytes_per_token)
         return self._start_run(request, request_id, req, prompt_tokens, prefix)
@@ -205,18 +207,18 @@
         prompt_tokens: int,
         prefix: tuple[int, ...],
     ) -> defer.Deferred[None]:
-        knobs = self._table().effective(req.organisation, req.request_class)
-        sink_type = StreamSink if req.stream else WholeSink
+        params = self._table().effective(req.organisation, req.request_class)
+        sink_type = StreamSink if req.stream else BufferedSink
         sink = sink_type(request, request_id, req, prompt_tokens)
-        run = CompletionRun(self._ctx, request_id, req, prompt_tokens, prefix, knobs, sink)
+        run = CompletionRun(self._ctx, request_id, req, prompt_tokens, prefix, params, sink)
 
         async def serve() -> None:
             if not req.idempotency_key:
                 sink.finish(await run.run(), run.offset)
                 return
             body = f"{req.model}\0{req.max_tokens}\0{req.prompt}".encode()
-            claimed = ClaimedKey(req.organisation, req.idempotency_key, body, request_id)
-            answer = await self._run_once(claimed, run.run)
+            keyed = KeyedRequest(req.organisation, req.idempotency_key, body, request_id)
+            answer = await self._run_once(keyed, run.run)
             if isinstance(answer, Duplicate):
                 finish_duplicate(request, request_id, answer)
             else:
@@ -224,7 +226,7 @@
 
         return self._track(start(serve()))
 
-    def _impossible(
+    def _refuse_if_impossible(
         self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int
     ) -> bool:
         """Refuse what no target could ever serve; True if it was refused."""
@@ -238,7 +240,7 @@
             finish_with_findings(request, request_id, status, [finding], "model_not_found")
             return True
         policy = self._table().effective(req.organisation, req.request_class).name("policy")
-        if not self._ctx.placer.can_ever_hold(req.model, policy, prompt_tokens, req.max_tokens):
+        if not self._ctx.placer.can_ever_fit(req.model, policy, prompt_tokens, req.max_tokens):
             message = (
                 f"about {prompt_tokens} tokens and {req.max_tokens} for the answer are more "
                 f"than the policy {policy} can place on the targets of the model"
@@ -264,8 +266,8 @@
         key = _header(request, IDEMPOTENCY_HEADER)
         if key and organisation is not None:
             body = f"{call.service}\0{call.method}\0{call.path}\0".encode() + call.body
-            claimed = ClaimedKey(organisation, key, body, call.request_id)
-            outcome = await self._run_once(claimed, run)
+            keyed = KeyedRequest(organisation, key, body, call.request_id)
+            outcome = await self._run_once(keyed, run)
         else:
             outcome = await run()
         if isinstance(outcome, Duplicate):
@@ -276,13 +278,13 @@
             finish_outcome(request, call.request_id, outcome)
 
     async def _run_once(
-        self, claimed: ClaimedKey, run: Callable[[], Awaitable[Outcome]]
+        self, keyed: KeyedRequest, run: Callable[[], Awaitable[Outcome]]
     ) -> Outcome | Duplicate:
-        self._ctx.own_sessions.add(claimed.request_id)
+        self._ctx.own_sessions.add(keyed.request_id)
         try:
-            return await run_once(self._claims, claimed, run, self._ask_running)
+            return await run_once(self._claims, keyed, run, self._ask_running)
         finally:
-            self._ctx.own_sessions.discard(claimed.request_id)
+            self._ctx.own_sessions.discard(keyed.request_id)
 
     def _finish_service(self, request: Request, call: ServiceCall, answer: ServiceReply) -> None:
         if request._disconnected:
@@ -306,9 +308,9 @@
             return result
 
         run.addBoth(ended)
-        return run.addErrback(_swallow_cancelled)
+        return run.addErrback(_ignore_cancelled)
 
-    def _refuses(self, request: Request, request_id: str) -> bool:
+    def _refuse_if_draining(self, request: Request, request_id: str) -> bool:
         if not self._draining:
             return False
         request.setHeader(b"connection", b"close")
@@ -317,13 +319,13 @@
         return True
 
     def _organisation(self, request: Request) -> str | None:
-        if not self._by_key:
+        if not self._by_api_key:
             return _header(request, ORGANISATION_HEADER) or ANONYMOUS
         scheme, _, key = (_header(request, "authorization") or "").partition(" ")
         return self._organisations.get(key) if scheme.lower() == "bearer" else None
 
     def _new_id(self) -> str:
-        return f"{self._id_prefix}-{next(self._numbers)}"
+        return f"{self._id_prefix}-{next(self._request_numbers)}"
 
 
 def _header(request: Request, name: str) -> str | None:
@@ -339,5 +341,5 @@
     return seconds if 0 < seconds < float("inf") else default_s
 
 
-def _swallow_cancelled(failure) -> None:
+def _ignore_cancelled(failure) -> None:
     failure.trap(defer.CancelledError)
--- a/gladedrum/entry/tests/test_attempt.py
+++ b/gladedrum/entry/tests/test_attempt.py
@@ -14,7 +14,7 @@
 from gladedrum.outcome import Completed, Failed
 from gladedrum.platform import Box, Target
 from gladedrum.scheduling import Job
-from gladedrum.targets import Cancelled
+from gladedrum.targets import CancelResult
 from gladedrum.utils import start
 
 JOB = Job("job", "org", "class", 1000, 10, 0.0, 1000.0)
@@ -46,7 +46,7 @@
 
     async def cancel(self, session_id):
         self.cancelled.append(session_id)
-        return Cancelled(found=True, started=True)
+        return CancelResult(found=True, started=True)
 
 
 def run(engine, may_repeat=False):
@@ -65,7 +65,7 @@
         offset=lambda: 5,
         on_pieces=lambda _pieces: None,
         on_dropped=lambda _why: None,
-        on_trouble=lambda _placed, _exc: None,
+        on_target_failure=lambda _placed, _exc: None,
     )
     attempt = Attempt(ctx, (PLACED,), "m", "prompt", 10, may_repeat)
     attempt._engines = [engine]
--- a/gladedrum/entry/tests/test_once.py
+++ b/gladedrum/entry/tests/test_once.py
@@ -2,23 +2,23 @@
 
 from twisted.internet import defer
 
-from gladedrum.claims import Claim, ClaimState, Held, Older
-from gladedrum.entry.once import ClaimedKey, Duplicate, run_once
+from gladedrum.claims import Acquired, AlreadyClaimed, Claim, ClaimState
+from gladedrum.entry.once import Duplicate, KeyedRequest, run_once
 from gladedrum.outcome import Completed, NotRun, Unknown
 from gladedrum.utils import start
 
-_CLAIMED = ClaimedKey("organisation", "key", b"body", "request")
+_KEYED = KeyedRequest("organisation", "key", b"body", "request")
 
 
 class _Claims:
     def __init__(self, answer):
-        self.answer, self.settled = answer, []
+        self.answer, self.recorded = answer, []
 
-    def take(self, *_claimed):
+    def acquire(self, *_keyed):
         return self.answer
 
-    def settle(self, *arguments):
-        self.settled.append(arguments[-1])
+    def record_outcome(self, *arguments):
+        self.recorded.append(arguments[-1])
 
 
 def _run(claims, run, running=None):
@@ -27,7 +27,7 @@
     async def ask_running(_box, _ids):
         return running
 
-    task = start(run_once(claims, _CLAIMED, run, ask_running))
+    task = start(run_once(claims, _KEYED, run, ask_running))
     task.addBoth(results.append)
     return task, results
 
@@ -37,9 +37,9 @@
 
 
 def test_a_held_key_is_settled_with_the_outcome():
-    claims = _Claims(defer.succeed(Held()))
+    claims = _Claims(defer.succeed(Acquired()))
     _, results = _run(claims, _complete)
-    assert results == claims.settled == [Completed()]
+    assert results == claims.recorded == [Completed()]
 
 
 def test_a_caller_that_goes_while_the_key_is_claimed_leaves_no_claim_behind():
@@ -48,20 +48,20 @@
     task, _ = _run(claims, _complete)
     task.addErrback(lambda _failure: None)
     task.cancel()
-    assert [type(outcome) for outcome in claims.settled] == [NotRun]
+    assert [type(outcome) for outcome in claims.recorded] == [NotRun]
 
 
 def test_a_caller_that_goes_while_the_request_runs_leaves_it_unknown():
-    claims = _Claims(defer.succeed(Held()))
+    claims = _Claims(defer.succeed(Acquired()))
     task, _ = _run(claims, lambda: defer.Deferred())
     task.addErrback(lambda _failure: None)
     task.cancel()
-    assert [type(outcome) for outcome in claims.settled] == [Unknown]
+    assert [type(outcome) for outcome in claims.recorded] == [Unknown]
 
 
 def _older(running):
     claim = Claim("first", "box-9", "digest", ClaimState.RUNNING, 0.0)
-    _, results = _run(_Claims(defer.succeed(Older(claim))), _complete, running)
+    _, results = _run(_Claims(defer.succeed(AlreadyClaimed(claim))), _complete, running)
     assert isinstance(results[0], Duplicate)
     return results[0].code
 
--- a/gladedrum/targets/__init__.py
+++ b/gladedrum/targets/__init__.py
@@ -1,4 +1,8 @@
-"""Model engines and plain services: what they are asked, what they answer, who owns them."""
+"""Targets: model engines and plain services.
+
+Holds the clients that call them, the parsers of their responses, and the owner, which keeps the
+queue and the reservations of one engine.
+"""
 
 from .engine import *
 from .engine import __all__ as _engine_all
--- a/gladedrum/targets/engine.py
+++ b/gladedrum/targets/engine.py
@@ -1,4 +1,8 @@
-"""A client of one model engine."""
+"""HTTP client for one model engine.
+
+A session runs one attempt of a request, or of one segment of it, on an engine. A long prompt is
+split into segments, which sessions on different engines prefill.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,21 +19,21 @@
 from .stream import AnswerStream, Piece
 
 __all__ = [
-    "Cancelled",
+    "CancelResult",
     "EngineClient",
     "EngineLoad",
     "EngineRequest",
     "EngineSession",
-    "SegmentPlace",
+    "SegmentLocation",
 ]
 
 _CONTROL_TIMEOUT_S = 2.0
 
-S = TypeVar("S", AnswerStream, HeldStream)
+StreamT = TypeVar("StreamT", AnswerStream, HeldStream)
 
 
-class SegmentPlace(NamedTuple):
-    """Where a segment of a prompt is held."""
+class SegmentLocation(NamedTuple):
+    """The engine and session that hold a segment of a prompt."""
 
     url: str
     session_id: str
@@ -37,30 +41,30 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineRequest:
-    """What an engine is asked to do.
+    """A request to an engine.
 
     Parameters
     ----------
     session_id : str
-        Unique for each try of each request.
+        Unique for each attempt of each request.
     model : str
-        The model.
+        Name of the model.
     prompt : str
-        The whole prompt.
+        The prompt, or one segment of a long prompt.
     max_tokens : int
-        The most answer tokens.
+        Maximum number of answer tokens.
     priority : int
-        Lower goes first.
+        Scheduling priority; lower runs first.
     owner : str
-        The box that waits for the answer, kept by the engine as a label.
+        Name of the box that waits for the answer. The engine keeps it as a label.
     offset : int
-        The first answer token that is wanted.
+        Offset of the first answer token to send.
     traceparent : str
-        The trace that the request belongs to; empty for none.
+        W3C trace context; empty for none.
     start_tokens : int
-        Where the prompt starts in a longer one, if it is a segment.
-    context : tuple of SegmentPlace
-        Where the earlier segments are held, in order.
+        Position of a segment in the whole prompt, in tokens.
+    context : tuple of SegmentLocation
+        Locations of the earlier segments, in order.
     """
 
     session_id: str
@@ -72,11 +76,11 @@
     offset: int = 0
     traceparent: str = ""
     start_tokens: int = 0
-    context: tuple[SegmentPlace, ...] = ()
+    context: tuple[SegmentLocation, ...] = ()
 
 
 class EngineLoad(NamedTuple):
-    """An engine's report of its load, some time old and not always true."""
+    """Load as reported by an engine; may be stale or wrong."""
 
     free_tokens: int
     memory_tokens: int
@@ -86,7 +90,7 @@
 
 
 class EngineSession(NamedTuple):
-    """A session as an engine lists it."""
+    """A session in an engine's list."""
 
     session_id: str
     owner: str
@@ -94,15 +98,15 @@
     running: bool
 
 
-class Cancelled(NamedTuple):
-    """What an engine says of a cancelled session.
+class CancelResult(NamedTuple):
+    """An engine's response to the cancellation of a session.
 
     Parameters
     ----------
     found : bool
-        True if the session was there and is gone now.
+        True if the session existed and has been cancelled.
     started : bool
-        True if the engine ever took such a session in; False is its word that it did not.
+        False if the engine confirms that it never started the session.
     """
 
     found: bool
@@ -110,14 +114,14 @@
 
 
 class EngineClient:
-    """Calls to one engine.
+    """Client for one engine.
 
     Parameters
     ----------
     url : str
-        Its base URL.
+        Base URL of the engine.
     web : WebClient
-        Makes the calls.
+        HTTP client.
     """
 
     def __init__(self, url: str, web: WebClient):
@@ -138,16 +142,16 @@
         TargetUnreachableError
             If no byte of the request reached the engine.
         TargetRefusedError
-            If the engine vouches that it did not start the request.
+            If the engine confirms that it did not start the request.
         TargetBrokenError
-            If the engine may have started it, but no stream came.
+            If the engine may have started it, but no stream was received.
         """
         response = await self._start(req, hold=False, timeout_s=timeout_s)
         stream = AnswerStream(req.session_id, req.offset, on_pieces, on_dropped)
         return await self._deliver(response, stream)
 
     async def hold(self, req: EngineRequest, timeout_s: float) -> HeldStream:
-        """Prefill a segment and keep it for other engines to read; raises as `open` does."""
+        """Prefill a segment and hold it for other engines; raises the same errors as `open`."""
         response = await self._start(req, hold=True, timeout_s=timeout_s)
         return await self._deliver(response, HeldStream(req.session_id))
 
@@ -159,9 +163,9 @@
         on_dropped: Callable[[str], None],
         timeout_s: float,
     ) -> AnswerStream:
-        """Return the stream of a session that is already there, from `offset` on.
+        """Return the stream of an existing session from `offset` on, without starting a new one.
 
-        Raises as `open` does; nothing is started anew.
+        Raises the same errors as `open`.
         """
         url = f"{self._url}/sessions/{session_id}/stream?offset={offset}"
         response = await self._send("GET", url, None, {}, timeout_s)
@@ -169,19 +173,19 @@
             response, AnswerStream(session_id, offset, on_pieces, on_dropped)
         )
 
-    async def cancel(self, session_id: str) -> Cancelled:
-        """Cancel a session and return what the engine says of it.
+    async def cancel(self, session_id: str) -> CancelResult:
+        """Cancel a session.
 
         Raises
         ------
         TargetUnreachableError, TargetBrokenError
-            If no answer came.
+            If no valid response was received.
         """
         reply = await self._control("DELETE", f"/sessions/{session_id}")
-        return Cancelled(bool(reply.get("cancelled")), bool(reply.get("started", True)))
+        return CancelResult(bool(reply.get("cancelled")), bool(reply.get("started", True)))
 
     async def load(self) -> EngineLoad:
-        """Return the engine's report of its load; raises as `cancel` does."""
+        """Return the engine's reported load; raises the same errors as `cancel`."""
         reply = await self._control("GET", "/load")
         try:
             return EngineLoad(
@@ -195,7 +199,7 @@
             raise TargetBrokenError(f"{self._url}/load makes no sense: {exc!r}") from exc
 
     async def sessions(self) -> list[EngineSession]:
-        """Return the sessions that the engine holds; raises as `cancel` does."""
+        """Return the engine's sessions; raises the same errors as `cancel`."""
         reply = await self._control("GET", "/sessions")
         try:
             return [
@@ -235,7 +239,7 @@
         except LostAnswerError as exc:
             raise TargetBrokenError(str(exc)) from exc
 
-    async def _deliver(self, response: IResponse, stream: S) -> S:
+    async def _deliver(self, response: IResponse, stream: StreamT) -> StreamT:
         if response.code == HTTPStatus.OK:
             response.deliverBody(stream)
             return stream
--- a/gladedrum/targets/owner.py
+++ b/gladedrum/targets/owner.py
@@ -1,7 +1,7 @@
-"""The owner of one target: polls it, keeps its queue, grants reservations.
+"""The owner of one target: polls it, keeps its queue and grants reservations.
 
-Each target has one owner among the boxes. A box answers for whatever target it is asked
-about, so boxes that disagree on the owner are both served; see `peers.membership`.
+Each target has one owner among the boxes, chosen by `peers.membership`. A box acts as owner of any
+target for which it receives a request, so boxes that disagree on the owner are both served.
 """
 
 import logging
@@ -51,27 +51,29 @@
 )  # fmt: skip
 
 LEAVING_REASON = "the owner of the target is leaving"
-"""The reason by which an entry box sees that it should ask another owner."""
+"""Refusal reason that tells an entry box to ask the target's next owner."""
 
-_FAILURES_TO_DISTRUST = 2
+_FAILURES_BEFORE_DISTRUST = 2
 _DISTRUST_RETRY_AFTER_S = 2.0
 _IDLE_S = 60.0
 
 _log = logging.getLogger(__name__)
 
 LiveSessions = Callable[[str, list[str]], Awaitable[list[str] | None]]
-"""Asks a box by name which sessions it still awaits; None if that cannot be told."""
+"""Asks a box, by name, which of some sessions it still waits for; None if this is unknown."""
 
 
 class DecisionClock:
-    """Seconds that agree between boxes about as well as their wall clocks, and never jump.
+    """A monotonic clock that starts at the wall-clock time.
+
+    Its time is comparable between boxes as far as their wall clocks agree, and never jumps.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     wall_s : float, optional
-        The wall clock's time now, in seconds since the epoch.
+        Current wall-clock time, in seconds since the epoch.
     """
 
     def __init__(self, clock: IReactorTime, wall_s: float | None = None):
@@ -89,15 +91,15 @@
     Parameters
     ----------
     target : Target
-        The target's row.
+        The target as listed in the directory.
     engine : EngineClient
-        Speaks to it.
+        Client of the target.
     cfg : Settings
-        Read for the ``[targets]`` section.
+        Source of the ``[targets]`` settings.
     clock : DecisionClock
-        The time of decisions.
+        Clock for queueing and reservations.
     live_sessions : callable
-        See `LiveSessions`.
+        Asks other boxes for their sessions; see `LiveSessions`.
     """
 
     def __init__(
@@ -118,12 +120,12 @@
         limits = QueueLimits(cfg.get(MAX_QUEUED), cfg.get(MAX_RUNNING), cfg.get(RENEWAL))
         self.target = target
         self.queue = TargetQueue(traits, limits)
-        self.used_s = clock.now_s()
+        self.last_used_s = clock.now_s()
         self._engine = engine
         self._clock = clock
         self._orphan_grace_s = cfg.get(ORPHAN_GRACE)
         self._live_sessions = live_sessions
-        self._answers: dict[str, defer.Deferred[Grant | Refused]] = {}
+        self._pending_answers: dict[str, defer.Deferred[Grant | Refused]] = {}
         self._failures = 0
         self._polling = False
         self._sessions_known = False
@@ -131,93 +133,93 @@
 
     @property
     def sessions_known(self) -> bool:
-        """True once the target has told what runs on it; nothing is granted before."""
+        """True once the target has listed its sessions; nothing is granted before that."""
         return self._sessions_known
 
     @property
     def distrusted(self) -> bool:
-        """True if the target did not answer its owner lately."""
-        return self._failures >= _FAILURES_TO_DISTRUST
+        """True if the target has failed to answer the last polls."""
+        return self._failures >= _FAILURES_BEFORE_DISTRUST
 
     @property
     def idle(self) -> bool:
-        """True if nothing runs or waits and nobody has asked for a while."""
+        """True if nothing runs or waits and no request has come for `_IDLE_S`."""
         busy = self.queue.running or self.queue.waiting
-        return not busy and self._clock.now_s() - self.used_s > _IDLE_S
+        return not busy and self._clock.now_s() - self.last_used_s > _IDLE_S
 
     def quote(self, job: Job, chosen: Policy) -> Quote:
-        """Return what is expected of a request."""
-        self.used_s = self._clock.now_s()
+        """Return the target's quote for a request."""
+        self.last_used_s = self._clock.now_s()
         if self.distrusted:
             refused = Refused("the target does not answer", _DISTRUST_RETRY_AFTER_S)
             return Quote(0.0, float("inf"), refused)
-        return self.queue.quote(job, chosen, self.used_s)
+        return self.queue.quote(job, chosen, self.last_used_s)
 
     def reserve(self, job: Job, chosen: Policy) -> defer.Deferred[Grant | Refused]:
-        """Queue a request; fires when it is granted or refused."""
-        self.used_s = self._clock.now_s()
-        if job.job_id in self._answers:
+        """Queue a request; the deferred fires when it is granted or refused."""
+        self.last_used_s = self._clock.now_s()
+        if job.job_id in self._pending_answers:
             return defer.succeed(Refused("this request already waits here", 1.0))
         if self.distrusted:
             return defer.succeed(Refused("the target does not answer", _DISTRUST_RETRY_AFTER_S))
-        offered = self.queue.offer(job, chosen, self.used_s)
+        offered = self.queue.offer(job, chosen, self.last_used_s)
         if isinstance(offered, Refused):
             return defer.succeed(offered)
         answer: defer.Deferred[Grant | Refused] = defer.Deferred(
             lambda _answer: self.release(job.job_id)
         )
-        self._answers[job.job_id] = answer
-        self.pump()
+        self._pending_answers[job.job_id] = answer
+        self.grant_ready()
         return answer
 
     def first_token(self, job_id: str) -> None:
-        """Note that a request's first token has come."""
+        """Record that a request has produced its first token."""
         self.queue.first_token(job_id, self._clock.now_s())
-        self.pump()
+        self.grant_ready()
 
     def release(self, job_id: str) -> None:
-        """Give back what a request holds and grant what then fits."""
-        self._answers.pop(job_id, None)
+        """Release a request's reservation and grant the waiting requests that now fit."""
+        self._pending_answers.pop(job_id, None)
         if self.queue.release(job_id, self._clock.now_s()):
-            self.pump()
+            self.grant_ready()
 
     def renew(self, job: Job, chosen: Policy) -> None:
-        """Renew a request's reservation."""
-        self.used_s = self._clock.now_s()
-        self.queue.adopt(job, chosen, self.used_s)
+        """Renew a request's reservation, or take it over from another owner."""
+        self.last_used_s = self._clock.now_s()
+        self.queue.adopt(job, chosen, self.last_used_s)
 
     def tick(self) -> None:
-        """Drop what has lapsed or is too late, and grant what then fits."""
+        """Drop expired reservations and late requests, then grant the requests that now fit."""
         now_s = self._clock.now_s()
         if not self.queue.running and not self.queue.waiting:
             return
         for job in self.queue.expire(now_s):
             _log.warning(
-                "reservation lapsed",
+                "reservation expired",
                 extra={"session_id": job.job_id, "entry_box": job.entry_box},
             )
         for job in self.queue.drop_late(now_s):
             self._answer(job.job_id, Refused("its time would be up before it is done", 1.0))
-        self.pump()
+        self.grant_ready()
 
-    def pump(self) -> None:
-        """Answer the requests that can start now.
+    def grant_ready(self) -> None:
+        """Grant the waiting requests that can start now.
 
-        A new owner grants nothing before it knows what already runs on the target.
+        Does nothing until the target has listed its sessions, because they occupy its memory.
         """
         if not self._sessions_known:
             return
         for grant in self.queue.pump(self._clock.now_s()):
             self._answer(grant.job.job_id, grant)
 
-    def give_up(self, reason: str) -> None:
-        """Refuse everything that waits, so that it is placed elsewhere."""
+    def refuse_waiting(self, reason: str) -> None:
+        """Refuse all waiting requests, so that they are placed on other targets."""
         for job_id in list(self.queue.waiting):
             self.queue.release(job_id, self._clock.now_s())
             self._answer(job_id, Refused(reason, 1.0))
 
     async def poll(self) -> None:
-        """Ask the target for its sessions, and free what nobody awaits."""
+        """Fetch the target's sessions, and cancel those that no box waits for."""
         if self._polling:
             return
         self._polling = True
@@ -231,22 +233,22 @@
             sessions = await self._engine.sessions()
         except (TargetUnreachableError, TargetBrokenError) as exc:
             self._failures += 1
-            if self._failures == _FAILURES_TO_DISTRUST:
+            if self._failures == _FAILURES_BEFORE_DISTRUST:
                 _log.warning(
                     "target distrusted",
                     extra={"target": self.target.name, "reason": str(exc)},
                 )
-                self.give_up("the target does not answer")
+                self.refuse_waiting("the target does not answer")
             return
         self._failures = 0
         unreserved = [s for s in sessions if s.session_id not in self.queue.running]
-        # Sessions that are not this owner's own still take the engine's memory.
+        # Sessions without a reservation here still occupy the engine's memory.
         self.queue.withhold(sum(s.memory_tokens for s in unreserved if s.running))
         self._sessions_known = True
-        self.pump()
-        await self._free_orphans(unreserved)
+        self.grant_ready()
+        await self._cancel_orphans(unreserved)
 
-    async def _free_orphans(self, unreserved: list[EngineSession]) -> None:
+    async def _cancel_orphans(self, unreserved: list[EngineSession]) -> None:
         now_s = self._clock.now_s()
         since = self._unreserved_since
         self._unreserved_since = {s.session_id: since.get(s.session_id, now_s) for s in unreserved}
@@ -256,15 +258,15 @@
             if now_s - self._unreserved_since[s.session_id] >= self._orphan_grace_s
         ]
         for box in {s.owner for s in old}:
-            await self._free_orphans_of(box, [s.session_id for s in old if s.owner == box])
+            await self._cancel_orphans_of(box, [s.session_id for s in old if s.owner == box])
 
-    async def _free_orphans_of(self, box: str, session_ids: list[str]) -> None:
+    async def _cancel_orphans_of(self, box: str, session_ids: list[str]) -> None:
         live = await self._live_sessions(box, session_ids)
         if live is None:
             return
         for session_id in set(session_ids) - set(live):
             _log.warning(
-                "session without a request cancelled",
+                "orphaned session cancelled",
                 extra={"session_id": session_id, "target": self.target.name, "entry_box": box},
             )
             try:
@@ -273,6 +275,6 @@
                 return
 
     def _answer(self, job_id: str, answer: Grant | Refused) -> None:
-        waiting = self._answers.pop(job_id, None)
+        waiting = self._pending_answers.pop(job_id, None)
         if waiting is not None:
             waiting.callback(answer)
--- a/gladedrum/targets/owners.py
+++ b/gladedrum/targets/owners.py
@@ -1,4 +1,4 @@
-"""All targets that a box owns or is asked about."""
+"""The owners of targets on one box, created on demand."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -22,28 +22,28 @@
     unit="s", minimum=0.05, maximum=60,
 )  # fmt: skip
 
-_TICK_S = 0.05
+_TICK_INTERVAL_S = 0.05
 
 _log = logging.getLogger(__name__)
 
 
 class Owners:
-    """All targets that this box owns or is asked about.
+    """The owners of all targets that this box owns or receives requests for.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Where the timers live.
+        Clock for the timers.
     cfg : Settings
-        Read for the ``[targets]`` section.
+        Source of the ``[targets]`` settings.
     web : WebClient
-        Speaks to the targets.
+        HTTP client for calls to the targets.
     metrics : Metrics
-        Told the queue lengths and reservations.
+        Receives queue lengths and reserved tokens.
     find_target : callable
-        Returns the row of a target by name, or None.
+        Returns a target of the directory by name, or None.
     ask_sessions : callable
-        See `LiveSessions`; how other boxes are asked.
+        Asks other boxes for their sessions; see `LiveSessions`.
     """
 
     def __init__(
@@ -67,69 +67,69 @@
         self._owners: dict[str, TargetOwner] = {}
 
     def now_s(self) -> float:
-        """Return the decision clock, in seconds."""
+        """Return the time of the decision clock, in seconds."""
         return self.clock.now_s()
 
     def quote(self, target: str, job: Job, policy_name: str) -> Quote:
-        """Return what is expected of a request on a target."""
+        """Return the quote of a target for a request."""
         owner = self._owner(target)
         if owner is None or self.leaving:
             return Quote(0.0, float("inf"), self._refusal(target))
         return owner.quote(job, self._policy(policy_name))
 
     def reserve(self, target: str, job: Job, policy_name: str) -> defer.Deferred[Grant | Refused]:
-        """Queue a request; fires when it is granted or refused."""
+        """Queue a request; the deferred fires when it is granted or refused."""
         owner = self._owner(target)
         if owner is None or self.leaving:
             return defer.succeed(self._refusal(target))
         return owner.reserve(job, self._policy(policy_name))
 
     def first_token(self, target: str, job_id: str) -> None:
-        """Note that a request's first token has come."""
+        """Record that a request has produced its first token."""
         if target in self._owners:
             self._owners[target].first_token(job_id)
 
     def release(self, target: str, job_id: str) -> None:
-        """Give back what a request holds."""
+        """Release a request's reservation, or remove it from the queue."""
         if target in self._owners:
             self._owners[target].release(job_id)
 
     def renew(self, target: str, job: Job, policy_name: str) -> None:
-        """Renew a request's reservation."""
+        """Renew a request's reservation, or take it over from another owner."""
         owner = self._owner(target)
         if owner is not None:
             owner.renew(job, self._policy(policy_name))
 
     def renew_known(self, target: str, job_id: str) -> None:
-        """Renew a reservation that the target's owner here has granted or taken over."""
+        """Renew a reservation that this box has granted or taken over."""
         if target in self._owners:
             self._owners[target].queue.renew(job_id, self.now_s())
 
     def live_sessions(self, session_ids: list[str]) -> list[str]:
-        """Return those of the sessions that this box still waits for."""
+        """Return the sessions among these that this box still waits for."""
         return [s for s in session_ids if s in self.own_sessions]
 
     def leave(self) -> None:
-        """Take no new requests and hand on those that wait."""
+        """Accept no new requests, and refuse the queued ones so that they go to other owners."""
         self.leaving = True
         for owner in self._owners.values():
-            owner.give_up(LEAVING_REASON)
+            owner.refuse_waiting(LEAVING_REASON)
 
     def owned(self) -> Iterable[TargetOwner]:
-        """Return all owners, for display."""
+        """Return all owners, for status output."""
         return self._owners.values()
 
     async def tick(self) -> None:
-        """Let all owners do what time calls for, again and again, until cancelled."""
-        await repeat(self._reactor, _TICK_S, self._tick)
+        """Run the time-driven work of all owners periodically until cancelled."""
+        await repeat(self._reactor, _TICK_INTERVAL_S, self._tick)
 
     async def poll(self, owned_targets: Callable[[], list[Target]]) -> None:
-        """Poll the targets again and again, until cancelled.
+        """Poll the targets periodically until cancelled.
 
         Parameters
         ----------
         owned_targets : callable
-            Returns the engines that this box owns now.
+            Returns the engines that this box currently owns.
         """
         interval_s = self._cfg.get(POLL_INTERVAL)
         await repeat(self._reactor, interval_s, lambda: self._poll(owned_targets))
@@ -143,7 +143,7 @@
             self._owner(target.name)
         for name, owner in list(self._owners.items()):
             if self._find_target(name) is None or owner.idle:
-                owner.give_up("the target is gone")
+                owner.refuse_waiting("the target is gone")
                 del self._owners[name]
                 continue
             self._metrics.queue_length.labels(name).set(len(owner.queue.waiting))
@@ -167,7 +167,7 @@
         try:
             return policy(name)
         except UnknownPolicyError:
-            # Another box may run a newer release that has more policies.
+            # Another box may run a newer release with policies that this one lacks.
             return policy(self._cfg.get(DEFAULT_POLICY))
 
     def _refusal(self, target: str) -> Refused:
--- a/gladedrum/targets/service.py
+++ b/gladedrum/targets/service.py
@@ -1,4 +1,4 @@
-"""A client of plain services, whose calls are passed on as they are."""
+"""HTTP client for plain services, whose calls are forwarded unchanged."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -12,11 +12,11 @@
 
 __all__ = ["ServiceClient", "ServiceReply"]
 
-_PASSED_ON = ("content-type", "cache-control", "etag", "last-modified", "location")
+_FORWARDED_HEADERS = ("content-type", "cache-control", "etag", "last-modified", "location")
 
 
 class ServiceReply(NamedTuple):
-    """A service's whole answer."""
+    """The complete response of a service."""
 
     status: int
     headers: dict[str, str]
@@ -24,14 +24,14 @@
 
 
 class ServiceClient:
-    """Calls to plain services.
+    """Client for plain services.
 
     Parameters
     ----------
     web : WebClient
-        Makes the calls.
+        HTTP client.
     clock : IReactorTime
-        Measures how long an answer takes.
+        Clock for the timeout of the whole call.
     """
 
     def __init__(self, web: WebClient, clock: IReactorTime):
@@ -41,14 +41,14 @@
     async def call(
         self, method: str, url: str, headers: Mapping[str, str], body: bytes, timeout_s: float
     ) -> ServiceReply:
-        """Make a call and return its whole answer.
+        """Make a call and return its complete response.
 
         Raises
         ------
         TargetUnreachableError
             If no byte of the call reached the service.
         TargetBrokenError
-            If it may have run, but no whole answer came.
+            If the service may have run the call, but the response is missing or incomplete.
         """
         end_s = self._clock.seconds() + timeout_s
         try:
@@ -65,7 +65,7 @@
             raise TargetBrokenError(f"{url}: {exc!r}") from exc
         kept = {
             name: ", ".join(response.headers.getRawHeaders(name))
-            for name in _PASSED_ON
+            for name in _FORWARDED_HEADERS
             if response.headers.hasHeader(name)
         }
         return ServiceReply(response.code, kept, content)
--- a/gladedrum/targets/stream.py
+++ b/gladedrum/targets/stream.py
@@ -1,7 +1,8 @@
-"""The stream of pieces that a model engine answers with.
+"""Parser for the streamed answer of a model engine.
 
-Every piece must carry the id of its session and the next offset. What does not fit is
-dropped and counted; a gap or an early end makes the stream broken, never complete.
+An answer arrives as server-sent events, one piece (token) per event. Every piece must carry its
+session id and the next offset. Pieces of other sessions and duplicates are dropped and counted. A
+gap, a malformed event or an early end fails the stream.
 """
 
 from collections.abc import Callable
@@ -16,22 +17,22 @@
 
 __all__ = ["AnswerStream", "Piece"]
 
-_DATA = b"data:"
-_DONE = b"[DONE]"
+_DATA_PREFIX = b"data:"
+_DONE_MARKER = b"[DONE]"
 _MAX_EVENT_BYTES = 1_000_000
 
 
 class Piece(NamedTuple):
-    """A part of an answer.
+    """One token of an answer.
 
     Parameters
     ----------
     offset : int
-        The number of tokens before it.
+        Number of answer tokens before this one.
     text : str
-        Its text.
+        Text of the token.
     finish_reason : str or None
-        Set on the last piece.
+        Set on the last piece only.
     """
 
     offset: int
@@ -45,7 +46,7 @@
 
 
 class _Event(msgspec.Struct):
-    """What an engine puts into an event; other fields are passed over."""
+    """Payload of an event; unknown fields are ignored."""
 
     id: str
     offset: int
@@ -56,23 +57,23 @@
 
 
 class AnswerStream(Protocol):
-    """Reads server-sent events from an engine and hands on the pieces that fit.
+    """Reads server-sent events from an engine and delivers the valid pieces in order.
 
     Parameters
     ----------
     session_id : str
-        The id that every piece must carry.
+        Session id that every piece must carry.
     offset : int
-        The offset of the first piece that is wanted.
+        Offset of the first piece to deliver.
     on_pieces : callable
-        Called with a list of each `Piece` that fits, in order, as they come together.
+        Called with the list of valid pieces of each received chunk.
     on_dropped : callable
-        Called with the reason for each piece that does not fit.
+        Called with the reason, ``crossed`` or ``duplicate``, for each dropped piece.
 
     Attributes
     ----------
     ended : Deferred
-        Fires with None after the last piece and the end marker, and fails with
+        Fires with None after the last piece and the end marker. Fails with
         `TargetBrokenError` if the stream ends in any other way.
     """
 
@@ -87,96 +88,96 @@
         self.next_offset = offset
         self._session_id = session_id
         self._on_pieces = on_pieces
-        self._fitting: list[Piece] = []
+        self._accepted: list[Piece] = []
         self._on_dropped = on_dropped
         self._buffer = b""
-        self._last_seen = False
-        self._over = False
+        self._last_received = False
+        self._closed = False
 
     def pause(self) -> None:
-        """Stop reading until `resume`, because the caller reads slowly."""
-        if self.transport is not None and not self._over:
+        """Stop reading until `resume`; used when the caller reads slowly."""
+        if self.transport is not None and not self._closed:
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
-        if self.transport is not None and not self._over:
+        """Continue reading."""
+        if self.transport is not None and not self._closed:
             self.transport.resumeProducing()
 
     def abort(self) -> None:
-        """Close the connection; whatever still comes is ignored."""
-        self._over = True
+        """Close the connection and ignore any further data."""
+        self._closed = True
         transport = self.transport
         if transport is not None:
-            # The transport of a response body cannot be aborted, but losing it closes the
-            # connection once it is not paused.
+            # The transport of a response body has no abort. `loseConnection` closes it, but only
+            # if it is not paused.
             transport.resumeProducing()
             transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Split what came into events and hand on what fits, all at once."""
+        """Parse the complete events, and deliver their valid pieces in one call."""
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in events:
-            if not self._over:
-                self._take_event(event)
+            if not self._closed:
+                self._handle_event(event)
         if len(self._buffer) > _MAX_EVENT_BYTES:
-            self._break("an event is too long")
-        self._hand_on()
+            self._fail("an event is too long")
+        self._deliver_accepted()
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """Find out whether the stream had ended before its connection did."""
-        if not self._over:
-            self._break(f"the connection ended early: {reason.getErrorMessage()}")
+        """Fail the stream if its connection ends before the end marker."""
+        if not self._closed:
+            self._fail(f"the connection ended early: {reason.getErrorMessage()}")
 
-    def _take_event(self, event: bytes) -> None:
-        if not event.startswith(_DATA):
+    def _handle_event(self, event: bytes) -> None:
+        if not event.startswith(_DATA_PREFIX):
             return
-        payload = event[len(_DATA) :].strip()
-        if payload == _DONE:
+        payload = event[len(_DATA_PREFIX) :].strip()
+        if payload == _DONE_MARKER:
             self._finish()
             return
         try:
             body = _decode(payload)
         except msgspec.MsgspecError:
-            self._break("an event makes no sense")
+            self._fail("an event makes no sense")
             return
         if not body.choices:
-            self._break("an event holds no piece")
+            self._fail("an event holds no piece")
             return
         choice = body.choices[0]
-        self._take_piece(body.id, Piece(body.offset, choice.text, choice.finish_reason))
+        self._handle_piece(body.id, Piece(body.offset, choice.text, choice.finish_reason))
 
-    def _take_piece(self, session_id: str, piece: Piece) -> None:
+    def _handle_piece(self, session_id: str, piece: Piece) -> None:
         if session_id != self._session_id:
             self._on_dropped("crossed")
-        elif piece.offset < self.next_offset or self._last_seen:
+        elif piece.offset < self.next_offset or self._last_received:
             self._on_dropped("duplicate")
         elif piece.offset > self.next_offset:
-            self._break(f"offset {piece.offset} came instead of {self.next_offset}")
+            self._fail(f"offset {piece.offset} came instead of {self.next_offset}")
         else:
             self.next_offset += 1
-            self._last_seen = piece.finish_reason is not None
-            self._fitting.append(piece)
+            self._last_received = piece.finish_reason is not None
+            self._accepted.append(piece)
 
-    def _hand_on(self) -> None:
-        if self._fitting:
-            pieces, self._fitting = self._fitting, []
+    def _deliver_accepted(self) -> None:
+        if self._accepted:
+            pieces, self._accepted = self._accepted, []
             self._on_pieces(pieces)
 
     def _finish(self) -> None:
-        if not self._last_seen:
-            self._break("the end marker came before the last piece")
+        if not self._last_received:
+            self._fail("the end marker came before the last piece")
             return
-        self._hand_on()
-        # The rest of the body must be read, or the connection is never free for another request.
+        self._deliver_accepted()
+        # The connection is reusable only once the rest of the body has been read.
         self.resume()
-        self._over = True
+        self._closed = True
         self.ended.callback(None)
 
-    def _break(self, why: str) -> None:
-        if self._over:
+    def _fail(self, why: str) -> None:
+        if self._closed:
             return
-        self._hand_on()
+        self._deliver_accepted()
         self.abort()
         if not self.ended.called:
             self.ended.errback(TargetBrokenError(why))
--- a/gladedrum/targets/tests/test_owner.py
+++ b/gladedrum/targets/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""A session without a reservation is cancelled only on its own box's word."""
+"""An owner cancels an unreserved session only if the session's box no longer waits for it."""
 
 import pytest
 from twisted.internet.task import Clock
@@ -11,7 +11,7 @@
 
 
 class _Engine:
-    """An engine with one session that this owner has not granted."""
+    """An engine with one session for which the owner has no reservation."""
 
     def __init__(self):
         self.cancelled = []
@@ -27,8 +27,8 @@
     ("awaited", "cancelled"), [(["s"], False), (None, False), ([], True)],
     ids=["awaited", "no answer", "not awaited"],
 )  # fmt: skip
-def test_a_session_that_the_last_owner_granted_is_left_to_its_box(awaited, cancelled):
-    """As after a change of owners, or when the target had left the list for a moment."""
+def test_an_unreserved_session_is_cancelled_only_if_nobody_waits_for_it(awaited, cancelled):
+    """Such sessions exist after a change of owner or a gap in the directory's list."""
     clock, engine = Clock(), _Engine()
 
     async def live_sessions(_box, _ids):
--- a/gladedrum/targets/tests/test_stream.py
+++ b/gladedrum/targets/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""A stream hands on only the pieces that fit, and never takes a broken answer for a whole one."""
+"""A stream delivers only valid pieces and never reports a broken answer as complete."""
 
 import json
 
@@ -30,7 +30,7 @@
         return self.results and self.results[0].check(TargetBrokenError)
 
 
-def test_a_whole_answer():
+def test_a_complete_answer():
     reader = _Reader()
     reader.feed(_event(0), _event(1, reason="length"), b"data: [DONE]\n\n")
     assert [p.text for p in reader.pieces] == ["t0", "t1"]
@@ -61,7 +61,7 @@
         [b"data: " + b"x" * 2_000_000],
     ],
 )
-def test_gaps_early_ends_and_nonsense_break_the_stream(events):
+def test_gaps_early_ends_and_malformed_events_fail_the_stream(events):
     reader = _Reader()
     reader.feed(*events)
     assert reader.broken
@@ -75,8 +75,7 @@
 
 
 def test_a_stream_that_was_paused_is_read_to_its_end():
-    """What follows the end marker, if only the end of the body, was never read if the caller was
-    slow: the connection stayed open and unread, and was not used again."""
+    """Otherwise a paused connection would stay unread after the end marker and never be reused."""
     transport = StringTransport()
     stream = AnswerStream("s", 0, lambda _pieces: stream.pause(), lambda _why: None)
     stream.makeConnection(transport)
--- a/gladedrum/targets/tokens.py
+++ b/gladedrum/targets/tokens.py
@@ -1,7 +1,7 @@
-"""Estimates of token counts, and digests of a prompt's leading part.
+"""Token count estimates and prompt prefix digests.
 
-A box does not know the models' vocabularies. It estimates the number of tokens from the
-number of bytes, which is what reservations, classes and deadlines need.
+A box has no tokenizers. It estimates the number of tokens from the number of bytes, which is
+precise enough for reservations, length classes and deadlines.
 
 Examples
 --------
@@ -36,10 +36,10 @@
 
 
 def prefix_digests(raw: bytes, bytes_per_token: float) -> tuple[int, ...]:
-    """Return digests of the leading 1024, 4096, 16384, … tokens of a prompt.
+    """Return digests of the first 1024, 4096, 16384, … tokens of a prompt.
 
-    Two prompts that share a leading part share the digests that lie within it. The number of
-    digests is bounded, so that a request's description stays small.
+    Prompts with a common prefix have equal digests up to its length. At most `MAX_DIGESTS` are
+    returned, which bounds the size of a request's record.
     """
     step_bytes = int(PREFIX_STEP_TOKENS * bytes_per_token)
     lengths = (step_bytes * PREFIX_GROWTH**n for n in range(MAX_DIGESTS))
@@ -48,13 +48,13 @@
     digests = []
     for start, end in itertools.pairwise([0, *ends]):
         digest.update(raw[start:end])
-        # One bit less than 64, since the wire format's integers are signed.
+        # 63 bits, because the integers of the wire format are signed.
         digests.append(int.from_bytes(digest.digest(), "big") >> 1)
     return tuple(digests)
 
 
 def split_prompt(prompt: str, lengths_tokens: list[int]) -> list[str]:
-    """Cut a prompt into parts whose lengths have the given proportions.
+    """Split a prompt into segments with lengths in the given proportions.
 
     Examples
     --------
