--- a/gladedrum/entry/__init__.py
+++ b/gladedrum/entry/__init__.py
@@ -1,4 +1,8 @@
-"""The callers' side of a box: HTTP interface, checks, and the life of a request."""
+"""The caller-facing side of a box: HTTP interface, validation and the processing of requests.
+
+`EntrySite` serves the HTTP routes. A `CompletionRun` takes one request from its arrival to its
+outcome: a `Placer` reserves targets, and an attempt sends the request to them.
+"""
 
 from .placement import *
 from .placement import __all__ as _placement_all
--- a/gladedrum/entry/attempt.py
+++ b/gladedrum/entry/attempt.py
@@ -1,4 +1,8 @@
-"""One try of a request on the targets that were reserved for it."""
+"""One attempt: sending a request to the targets reserved for it and reading the answer.
+
+A long prompt is split into segments. The engines of all segments but the last prefill and hold
+theirs. The engine of the last segment reads them and writes the answer.
+"""
 
 import random
 from collections.abc import Callable
@@ -33,50 +37,50 @@
 
 _MAX_RESUME_ATTEMPTS = 5
 _RESUME_MIN_BACKOFF_S, _RESUME_MAX_BACKOFF_S = 0.1, 1.0
-"""How often an answer that can't be had elsewhere is resumed without a token in between, and after
-which pauses, in seconds: an engine that takes connections again within a second still has it."""
+"""Backoff between resumes that yield no token, in seconds. An engine that
+accepts connections again within a second still has the session."""
 
 
 class Sink(Protocol):
-    """Where the pieces of an answer go."""
+    """Receiver of the pieces of an answer."""
 
     def pieces(self, pieces: list[Piece]) -> None:
-        """Take pieces that came together."""
+        """Receive the pieces of one chunk."""
 
     def attach(self, stream: AnswerStream) -> None:
-        """Take note of the stream that the pieces come from, to pause it when need be."""
+        """Set the stream to pause when the caller reads slowly."""
 
 
 @dataclass
 class AttemptContext:
-    """What all tries of one request share.
+    """State common to all attempts of one request.
 
     Parameters
     ----------
     box : str
-        The name of this box.
+        Name of this box.
     clock : IReactorTime
-        Where pauses are waited for.
+        Timer for backoff.
     web : WebClient
-        Speaks to the targets.
+        HTTP client for calls to the targets.
     placer : Placer
-        Takes reservations back.
+        Releases the reservations.
     own_sessions : set of str
-        The sessions that this box awaits.
+        Ids of the sessions that this box waits for.
     rng : random.Random
-        Spreads pauses.
+        Source of backoff jitter.
     life : Lifecycle
-        The request's state.
+        State machine of the request.
     sink : Sink
-        Where the answer goes.
+        Receiver of the answer.
     time_left_s : callable
-        Returns the time that the request has left, in seconds.
+        Returns the time until the request's deadline, in seconds.
     offset : callable
-        Returns the number of answer tokens that have come.
+        Returns the number of answer tokens received so far.
     on_pieces, on_dropped : callable
-        Called with pieces that came together, and with the reason for each that was dropped.
+        Called with the pieces of each chunk, and with the reason for each dropped piece.
     on_trouble : callable
-        Called with a reservation and an exception when its target causes trouble.
+        Called with the reservation and the exception when a target fails.
     """
 
     box: str
@@ -100,15 +104,15 @@
     Parameters
     ----------
     ctx : AttemptContext
-        Shared by all tries of the request.
+        State common to all attempts of the request.
     parts : tuple of Placed
         The reservations, in the order of the segments.
     model, prompt : str
-        What is asked.
+        Model and whole prompt.
     max_tokens : int
-        The most answer tokens.
+        Maximum number of answer tokens.
     may_repeat : bool
-        Whether another try is allowed after this one may have run.
+        Whether another attempt is allowed although this one may have run.
     """
 
     def __init__(
@@ -132,11 +136,11 @@
 
     @property
     def last(self) -> Placed:
-        """The reservation on the target that writes the answer."""
+        """The reservation on the target that generates the answer."""
         return self._parts[-1]
 
     async def run(self, span: Span) -> Outcome | None:
-        """Run to the end; None if the request may be tried on other targets."""
+        """Run the attempt; return None if the request may be retried on other targets."""
         number = 0
         try:
             for number in range(len(self._parts) - 1):
@@ -156,7 +160,7 @@
         return await self._read(stream)
 
     async def clean_up(self) -> None:
-        """End the sessions on the targets, see that they have ended, and free their memory."""
+        """Cancel the sessions on all targets, and release the reservations."""
         for held in self._held:
             held.abort()
         for engine, part in zip(self._engines, self._parts, strict=True):
@@ -164,7 +168,7 @@
             self._release(part)
 
     def release(self) -> None:
-        """Give back the reservation of a request whose session has ended by itself."""
+        """Release the reservation of a session that has ended by itself."""
         self._release(self.last)
 
     @property
@@ -172,10 +176,10 @@
         """True if earlier segments are held on other targets."""
         return len(self._parts) > 1
 
-    # Starting.
+    # Start of sessions.
 
     async def _hold(self, number: int, span: Span) -> None:
-        """Prefill a segment and have it held."""
+        """Prefill a segment and wait until its engine holds it."""
         self._ctx.life.send()
         req = self._request(number, span)
         held = await self._engines[number].hold(req, self._ctx.time_left_s())
@@ -206,7 +210,7 @@
             context=context,
         )
 
-    # Reading.
+    # Reading of the answer.
 
     async def _read(self, stream: AnswerStream) -> Outcome | None:
         resumes, broken_offset = 0, -1
@@ -227,10 +231,11 @@
                 stream = resumed
 
     async def _resume_within(self, resumes: int) -> tuple[AnswerStream | None, int]:
-        """Resume the session after so many tries without a token; return also the new number.
+        """Resume the session, given the number of resumes since the last token.
 
-        None if it is gone, would go on without a part of its prompt, or has had its tries: one if
-        the request may be repeated elsewhere, else several, since to give it up ends it for good.
+        Returns the stream and the new number of resumes. The stream is None if the session is gone,
+        an earlier segment is lost, or the limit is reached: one resume if the request may be
+        repeated on another target, else `_MAX_RESUME_ATTEMPTS`, since giving up fails the request.
         """
         max_resumes = 1 if self._may_repeat else _MAX_RESUME_ATTEMPTS
         while resumes < max_resumes and not self._segment_lost():
@@ -249,7 +254,7 @@
         return None, resumes
 
     async def _wait_while_held(self, wait: defer.Deferred[None]) -> None:
-        """Wait for something, but no longer than all earlier segments are held."""
+        """Wait for a deferred; fail as soon as an earlier segment is lost."""
         if not self._held:
             await wait
             return
@@ -275,23 +280,23 @@
     def _segment_lost(self) -> bool:
         return any(held.lost.called for held in self._held)
 
-    # Ends.
+    # Failures and cleanup.
 
     async def _after_not_started(self, number: int, exc: Exception) -> Outcome | None:
-        """Decide after a target did not start its part; earlier segments have been prefilled."""
+        """Handle a target that did not start its segment; earlier segments may have run."""
         if number == 0:
             self._ctx.life.not_started()
             return None
         return await self._after_connection_loss(str(exc))
 
     async def _after_connection_loss(self, reason: str) -> Outcome | None:
-        """Decide what a broken connection means; None if the request may be tried again."""
+        """Return the outcome after a lost connection; None if the request may be retried."""
         started = [await self._started(n) for n in range(len(self._parts))]
         if not any(started):
             self._ctx.life.not_started()
             return None
         self._ctx.life.in_doubt()
-        # A prefill alone has no effect that could be had twice; only the last target answers.
+        # Repeating a prefill is harmless. Only the last target produces an answer.
         if not started[-1] or self._may_repeat:
             return None
         match self._ctx.life.outcome_if_ended(reason):
@@ -301,7 +306,7 @@
                 return outcome
 
     async def _started(self, number: int) -> bool:
-        """Cancel a part; False only on its target's word that it never started it."""
+        """Cancel a segment; return False only if its target confirms it never started it."""
         if number < len(self._parts) - 1 and number >= len(self._held):
             return False
         try:
@@ -316,8 +321,8 @@
                 await engine.cancel(part.job.job_id)
                 return
             except TargetUnreachableError:
-                # A target that takes no connection holds no session worth freeing here; if
-                # it comes back, its owner finds the session by its label.
+                # Nothing to cancel while the target is down. If it comes back with the session,
+                # its owner cancels it as an orphan.
                 return
             except TargetBrokenError:
                 pause_s = backoff_s(
@@ -331,7 +336,7 @@
 
 
 def _shielded(wait: defer.Deferred) -> defer.Deferred:
-    """Return a deferred that fires as `wait` does and may be cancelled without it."""
+    """Return a deferred that fires with `wait`; cancelling it does not cancel `wait`."""
     shielded: defer.Deferred = defer.Deferred()
 
     def pass_on(result: object) -> None:
--- a/gladedrum/entry/body.py
+++ b/gladedrum/entry/body.py
@@ -1,4 +1,4 @@
-"""Reading of callers' request bodies: bounded in size and time, and never put on a disk."""
+"""Reading of request bodies, limited in size and time and kept in memory only."""
 
 import io
 import json
@@ -22,12 +22,13 @@
 )  # fmt: skip
 
 _IDLE_TIMEOUT_S = 60
-# A body that is somewhat too large is read to its end, so that the caller sees the answer.
+# A body up to this multiple of the limit is read to its end, so that the caller can finish sending
+# and read the error response.
 _MAX_DISCARD_FACTOR = 4
 
 
 class _BoundedBody(io.BytesIO):
-    """A buffer that keeps no more than a limit and counts the rest."""
+    """A buffer that stores data up to a limit and only counts what follows."""
 
     def __init__(self, limit_bytes: int):
         super().__init__()
@@ -46,7 +47,7 @@
 
 
 class _CallerRequest(Request):
-    """A request whose body is held in memory within the site's bounds."""
+    """A request that applies the site's limits to its body."""
 
     _timer: IDelayedCall | None = None
 
@@ -101,16 +102,16 @@
 
 
 class CallerSite(Site):
-    """A site whose requests keep to the settings' bounds.
+    """A site that limits the size and the arrival time of request bodies.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Where the timers live.
+        Clock for the timers.
     resource : IResource
-        What is served.
+        Root resource.
     cfg : Settings
-        Read for `MAX_BODY` and `BODY_TIME`.
+        Source of `MAX_BODY` and `BODY_TIME`.
     """
 
     def __init__(self, reactor, resource, cfg: Settings):
--- a/gladedrum/entry/connections.py
+++ b/gladedrum/entry/connections.py
@@ -1,4 +1,4 @@
-"""The callers' connections, counted so that a planned stop can wait for their last bytes."""
+"""Tracking of callers' connections, so that a planned stop can flush them."""
 
 from twisted.internet import defer
 from twisted.internet.interfaces import IProtocolFactory, IReactorTime
@@ -10,14 +10,14 @@
 
 
 class CountedConnections(WrappingFactory):
-    """Wraps the factory of a server and knows its open connections.
+    """Wraps the protocol factory of a server and tracks its open connections.
 
     Parameters
     ----------
     wrapped : IProtocolFactory
-        The factory of the server.
+        Protocol factory of the server.
     clock : IReactorTime
-        Where the bound on closing is waited for.
+        Timer for the time limit of `close`.
     """
 
     noisy = False
@@ -28,15 +28,15 @@
         self._all_closed: defer.Deferred[None] | None = None
 
     def unregisterProtocol(self, p: ProtocolWrapper) -> None:
-        """Note that a connection has ended."""
+        """Remove a connection that has ended."""
         super().unregisterProtocol(p)
         if not self.protocols and self._all_closed is not None and not self._all_closed.called:
             self._all_closed.callback(None)
 
     def close(self) -> defer.Deferred[None]:
-        """Close all connections once what was written to them has left; fires then.
+        """Flush and close all connections; the deferred fires when they are closed.
 
-        A caller that does not read cannot hold this up for longer than a bound.
+        It also fires after `_MAX_CLOSE_S`, so that a caller that does not read cannot block a stop.
         """
         if not self.protocols:
             return defer.succeed(None)
--- a/gladedrum/entry/lifecycle.py
+++ b/gladedrum/entry/lifecycle.py
@@ -1,10 +1,13 @@
-"""The states of a request, and what each says about it if nothing more is heard.
+"""State machine of a request, which decides the outcome if the request ends early.
 
 ::
 
     placing --send--> sent --answer--> answering --finish--> finished
-       ^                | |                ^
-       +----not_started---+ +-in_doubt-> doubtful
+       ^               | |                 ^
+       +--not_started--+ +--in_doubt--> uncertain
+
+A request that ends while placing has not run. In states sent and uncertain it may have run. While
+answering it has run and failed.
 """
 
 from typing import Protocol
@@ -17,29 +20,29 @@
 
 
 class Lifecycle(Protocol):
-    """The inputs of the state machine of a request."""
+    """Inputs of the state machine of a request."""
 
     def send(self) -> None:
-        """Bytes of it may reach a target from now on."""
+        """Bytes of the request may reach a target from now on."""
 
     def not_started(self) -> None:
-        """The target vouches that it did not start it, or no byte reached it."""
+        """The target confirmed that it did not start the request, or received no byte of it."""
 
     def in_doubt(self) -> None:
-        """A target may have run it and gives no word; another try does not change that."""
+        """A target may have run the request. Later attempts that fail do not change that."""
 
     def answer(self) -> None:
-        """A piece of its answer has come."""
+        """A piece of the answer has arrived."""
 
     def finish(self) -> None:
-        """The whole answer has come."""
+        """The whole answer has arrived."""
 
     def outcome_if_ended(self, reason: str) -> Outcome:
-        """Return the outcome if the request ends here for the given reason."""
+        """Return the outcome of the request if it ends in this state for the given reason."""
 
 
 class _NoData:
-    """The state machine keeps no data beside its state."""
+    """Placeholder: the state machine has no data besides its state."""
 
 
 def _ended_before_sending(_machine: Lifecycle, _data: _NoData, reason: str) -> Outcome:
@@ -55,44 +58,44 @@
 
 
 def _keep_data(_machine: Lifecycle, _data: _NoData) -> None:
-    """Only the state changes."""
+    """Change only the state."""
 
 
 def _build():
     builder = TypeMachineBuilder(Lifecycle, _NoData)
     placing = builder.state("placing")
     sent = builder.state("sent")
-    doubtful = builder.state("doubtful")
+    uncertain = builder.state("uncertain")
     answering = builder.state("answering")
     finished = builder.state("finished")
     for origin, step, goal in (
         (placing, Lifecycle.send, sent),
         (placing, Lifecycle.not_started, placing),
-        # Each segment of a long prompt is sent on its own.
+        # Each segment of a long prompt is sent separately.
         (sent, Lifecycle.send, sent),
         (sent, Lifecycle.not_started, placing),
-        (sent, Lifecycle.in_doubt, doubtful),
-        (doubtful, Lifecycle.send, doubtful),
-        (doubtful, Lifecycle.not_started, doubtful),
-        (doubtful, Lifecycle.in_doubt, doubtful),
-        (doubtful, Lifecycle.answer, answering),
+        (sent, Lifecycle.in_doubt, uncertain),
+        (uncertain, Lifecycle.send, uncertain),
+        (uncertain, Lifecycle.not_started, uncertain),
+        (uncertain, Lifecycle.in_doubt, uncertain),
+        (uncertain, Lifecycle.answer, answering),
         (sent, Lifecycle.answer, answering),
         (answering, Lifecycle.answer, answering),
-        # A request that is resumed elsewhere has answered before; it stays so.
+        # A request that answered before and is sent to another target has still run.
         (answering, Lifecycle.send, answering),
         (answering, Lifecycle.not_started, answering),
         (answering, Lifecycle.in_doubt, answering),
         (answering, Lifecycle.finish, finished),
     ):
         origin.upon(step).to(goal).returns(None)
-    for state, verdict in (
+    for state, make_outcome in (
         (placing, _ended_before_sending),
         (sent, _ended_after_sending),
-        (doubtful, _ended_after_sending),
+        (uncertain, _ended_after_sending),
         (answering, _ended_while_answering),
         (finished, _ended_while_answering),
     ):
-        state.upon(Lifecycle.outcome_if_ended).loop()(verdict)
+        state.upon(Lifecycle.outcome_if_ended).loop()(make_outcome)
     return builder.build()
 
 
@@ -100,7 +103,7 @@
 
 
 def new_lifecycle() -> Lifecycle:
-    """Return a request's state machine, in its first state.
+    """Return a state machine in its initial state.
 
     Examples
     --------
--- a/gladedrum/entry/once.py
+++ b/gladedrum/entry/once.py
@@ -1,4 +1,8 @@
-"""Requests with an idempotency key: claim, run, write down; and what a second caller is told."""
+"""Execution of requests with an idempotency key.
+
+A request runs only after it has claimed its key, and its outcome is recorded with the claim. A
+later request with the same key is answered with a `Duplicate`.
+"""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -12,22 +16,22 @@
 __all__ = ["RUNNING_RETRY_AFTER_S", "AskRunning", "Duplicate", "KeyedRequest", "run_once"]
 
 RUNNING_RETRY_AFTER_S = 5
-"""When a second caller should ask again for a request that still runs, in seconds."""
+"""Retry-After for a duplicate of a request that is still running, in seconds."""
 
-_UNCLAIMED_RETRY_AFTER_S = 2.0
+_CLAIM_FAILED_RETRY_AFTER_S = 2.0
 
 
 class KeyedRequest(NamedTuple):
-    """An idempotency key and what it is used for.
+    """A request with an idempotency key.
 
     Parameters
     ----------
     organisation, key : str
-        Keys of different organisations do not meet.
+        The key, and the organisation that defines its namespace.
     body : bytes
-        What is asked.
+        Content of the request, to detect reuse of the key for a different request.
     request_id : str
-        The request.
+        Id of the request.
     """
 
     organisation: str
@@ -37,19 +41,19 @@
 
 
 class Duplicate(NamedTuple):
-    """The request was not run again, because its key is known.
+    """Result of a request that was not run because its key was already used.
 
     Parameters
     ----------
     outcome : Outcome
-        What became of the request that holds the key.
+        Outcome of the request that holds the key.
     code : str
         ``still_running``, ``already_completed``, ``already_failed``, ``outcome_unknown``,
         ``key_too_old`` or ``key_reused``.
     first_request_id : str
-        The request that holds the key; empty if that is not known.
+        Id of the request that holds the key; empty if unknown.
     status : HTTPStatus
-        The HTTP status for the caller.
+        HTTP status of the response.
     """
 
     outcome: Outcome
@@ -59,7 +63,7 @@
 
 
 AskRunning = Callable[[str, list[str]], Awaitable[list[str] | None]]
-"""Asks a box by name which of some requests it runs; None if that cannot be told."""
+"""Asks a box, by name, which of some requests it is running; None if this is unknown."""
 
 
 async def run_once(
@@ -68,30 +72,30 @@
     run: Callable[[], Awaitable[Outcome]],
     ask_running: AskRunning,
 ) -> Outcome | Duplicate:
-    """Claim the key, run the request and write down what became of it.
+    """Claim the key, run the request and record its outcome.
 
     Parameters
     ----------
     claims : Claims
-        The claims.
-    claimed : ClaimedKey
-        The key.
+        Store of the claims.
+    keyed : KeyedRequest
+        The key and its request.
     run : callable
-        Runs the request; called at most once, and only if the key is claimed for it.
+        Runs the request; called at most once, and only after the key is claimed.
     ask_running : callable
         See `AskRunning`.
     """
     try:
         answer = await claims.acquire(*keyed)
     except defer.CancelledError:
-        # The claim may be written all the same; nothing will run under it.
+        # The claim may still be written. Record that its request never runs.
         claims.record_outcome(*keyed, NotRun("the caller has gone"))
         raise
     match answer:
         case Acquired():
             pass
         case ClaimFailed(reason=reason):
-            return NotRun(reason, _UNCLAIMED_RETRY_AFTER_S)
+            return NotRun(reason, _CLAIM_FAILED_RETRY_AFTER_S)
         case DifferentBody():
             reason = "the idempotency key was used for a different request"
             status = HTTPStatus.UNPROCESSABLE_ENTITY
@@ -113,7 +117,7 @@
 
 
 async def _is_orphaned(claim: Claim, ask_running: AskRunning) -> bool:
-    """Return True if the box of a running request says, or must be taken to say, it is gone."""
+    """Return True if the claim's box reports that it no longer runs the request."""
     running = await ask_running(claim.box, [claim.request_id])
     return running is not None and claim.request_id not in running
 
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -1,4 +1,8 @@
-"""Finding a target for a request and holding its reservation."""
+"""Placement: choosing targets for a request and reserving memory on them.
+
+The box that received the request asks the owners of candidate targets for quotes, reserves on the
+best of them, and renews the reservations until the request ends.
+"""
 
 import logging
 from collections import defaultdict
@@ -42,15 +46,15 @@
     Parameters
     ----------
     job : Job
-        The request.
+        The request, or its segment.
     policy : str
-        The policy that it came under.
+        Name of the placement policy that was applied.
     target : Target
-        Where it may run.
+        The reserved target.
     owner : Box
-        Who granted it.
+        The box that granted the reservation.
     priority : int
-        What the engine is to be told.
+        Scheduling priority to send to the engine.
     """
 
     job: Job
@@ -61,25 +65,25 @@
 
 
 class _ReservationOptions(NamedTuple):
-    """What all reservations of one request share."""
+    """Parameters common to all reservations of one request."""
 
     policy: str
     traceparent: str
 
 
 class Placer:
-    """Asks owners for quotes and reservations, and renews what is held.
+    """Asks owners for quotes and reservations, and renews the reservations.
 
     Parameters
     ----------
     clock : IReactorTime
-        Where the timers live.
+        Clock for the timers.
     cfg : Settings
-        Read for the ``[targets]`` section.
+        Source of the ``[targets]`` settings.
     membership : Membership
-        Knows boxes and targets.
+        The known boxes and targets.
     gateway : OwnerGateway
-        Reaches the owners.
+        Sends calls to the owners.
     """
 
     def __init__(
@@ -101,7 +105,7 @@
     def can_ever_fit(
         self, model: str, policy_name: str, prompt_tokens: int, output_tokens: int
     ) -> bool:
-        """Return False if a policy has no way for a request on all engines of its model."""
+        """Return False if a policy can never place a request on the engines of its model."""
         memories = [t.memory_tokens for t in self._membership.directory.engines(model)]
         if not memories:
             return True
@@ -110,7 +114,7 @@
         return bool(plan_segments(prompt_tokens, output_tokens, min(memories), count, rule))
 
     def avoid(self, target: str) -> None:
-        """Leave a target out for a while, because a request on it has just gone wrong."""
+        """Exclude a target from placement for a few seconds after a failed request."""
         self._avoided_until_s[target] = self._clock.seconds() + _AVOID_AFTER_FAILURE_S
 
     async def place(
@@ -128,19 +132,19 @@
         job : Job
             The request.
         model : str
-            The model that the targets must serve.
+            Model that the targets must serve.
         policy_name : str
-            The policy that decides.
+            Name of the placement policy.
         exclude : frozenset of str
-            Targets that are out of the question.
+            Names of targets to exclude.
         traceparent : str
-            The trace that the owners' spans belong to; empty for none.
+            W3C trace context for the owners' spans; empty for none.
 
         Returns
         -------
         tuple of Placed, or Refused
-            One reservation, or one for each segment of a long prompt. Whoever gets them must
-            `release` each of them in the end.
+            One reservation, or one for each segment of a long prompt. The caller must
+            `release` each of them.
         """
         policy_name = self._policy_or_default(policy_name)
         options = _ReservationOptions(policy_name, traceparent)
@@ -156,7 +160,7 @@
             if isinstance(answer, tuple):
                 return answer
             if answer is None:
-                # An owner was lost and has been replaced by now; its targets stay in play.
+                # An owner was lost and has been replaced. Its targets remain candidates.
                 continue
             refusal = answer
             refusing = {name for name, quote in quotes.items() if quote.refused is not None}
@@ -166,23 +170,23 @@
         return refusal
 
     def release(self, placed: Placed) -> None:
-        """Give a reservation back."""
+        """Release a reservation; does nothing if it was released before."""
         if self._held.pop(placed.job.job_id, None) is None:
             return
         del self._informed_owners[placed.job.job_id]
         self._gateway.release(placed.owner, placed.target, placed.job.job_id)
 
     def first_token(self, placed: Placed) -> None:
-        """Tell the owner that the first token has come."""
+        """Report to the owner that the first token has arrived."""
         self._gateway.first_token(placed.owner, placed.target.name, placed.job.job_id)
 
     def hand_over_soon(self) -> None:
-        """Tell new owners of the running requests, because owners have changed."""
+        """Schedule the hand-over of running requests to new owners; call when owners change."""
         if self._hand_over_call is None:
             self._hand_over_call = self._clock.callLater(0, self._hand_over)
 
     async def run(self) -> None:
-        """Renew all reservations from time to time, until cancelled."""
+        """Renew all reservations periodically until cancelled."""
         interval_s = self._cfg.get(RENEWAL) / _RENEWALS_PER_LIFETIME
         await repeat(self._clock, interval_s, self._renew)
 
@@ -190,7 +194,7 @@
         self._gateway.renew((p.target, p.job.job_id) for p in self._held.values())
 
     def _hand_over(self) -> None:
-        """Hand the requests over whose target's owner is not the one that was last told."""
+        """Send each reservation to its target's owner, unless that owner already has it."""
         self._hand_over_call = None
         by_target: defaultdict[str, list[Placed]] = defaultdict(list)
         for placed in self._held.values():
@@ -228,7 +232,7 @@
         targets: Iterable[Target],
         quotes: dict[str, Quote],
     ) -> tuple[Placed, ...] | Refused | None:
-        """Reserve on the best of the targets; None if an owner was lost."""
+        """Reserve on the targets with the best quotes; None if an owner was lost."""
         by_name = {t.name: t for t in targets}
         accepted = [by_name[name] for name in order_by_cost(quotes)]
         if len(accepted) < len(jobs):
@@ -240,7 +244,7 @@
             return await self._reserve_first(jobs[0], options, accepted)
         except PeerLostError as exc:
             _log.warning(
-                "owner lost while waiting",
+                "owner lost during reservation",
                 extra={"session_id": jobs[0].job_id, "reason": str(exc)},
             )
             return None
@@ -248,7 +252,7 @@
     async def _reserve_first(
         self, job: Job, options: _ReservationOptions, targets: Iterable[Target]
     ) -> tuple[Placed, ...] | Refused | None:
-        """Reserve on the first target that grants."""
+        """Reserve on the first target that grants the request."""
         refusals = []
         for target in targets:
             answer = await self._reserve_one(job, options, target)
@@ -260,7 +264,7 @@
     async def _reserve_all(
         self, jobs: list[Job], options: _ReservationOptions, targets: list[Target]
     ) -> tuple[Placed, ...] | Refused:
-        """Reserve on every target, in this order, or on none."""
+        """Reserve on all targets, in this order, or on none."""
         parts: list[Placed] = []
         whole = False
         try:
--- a/gladedrum/entry/requests.py
+++ b/gladedrum/entry/requests.py
@@ -1,6 +1,6 @@
-"""A caller's request, read from HTTP headers and a JSON body and checked.
+"""Parsing and validation of completion requests from HTTP headers and a JSON body.
 
-All findings are collected with their place and reported together.
+All errors of a request are collected as findings, each with its place, and reported together.
 """
 
 import json
@@ -25,11 +25,11 @@
 _MAX_KEY_LENGTH = 255
 
 HeaderLookup = Callable[[str], str | None]
-"""Looks a request header up by its lower-case name."""
+"""Returns a request header by its lower-case name."""
 
 
 class BadRequestError(GladedrumError):
-    """The request is wrong; `findings` says where and how."""
+    """The request is invalid; `findings` lists all errors and their places."""
 
     def __init__(self, findings: list[Finding]):
         self.findings = findings
@@ -37,7 +37,7 @@
 
 
 class RequestKind:
-    """The two kinds of completion, by the name of their response objects."""
+    """Kinds of completion, named by the ``object`` field of their responses."""
 
     COMPLETION = "text_completion"
     CHAT = "chat.completion"
@@ -45,29 +45,29 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A checked request for a completion.
+    """A validated completion request.
 
     Parameters
     ----------
     kind : str
         One of `RequestKind`.
     model : str
-        The model.
+        Name of the model.
     prompt : str
-        The whole prompt; a chat's messages are joined into one.
+        The whole prompt; the messages of a chat are joined into one.
     max_tokens : int
-        The most answer tokens.
+        Maximum number of answer tokens.
     stream : bool
-        True if the answer is wanted piece by piece.
+        Whether to stream the answer.
     include_usage : bool
-        True if a stream is to end with the numbers of tokens.
+        Whether the caller asked for token counts at the end of a stream.
     organisation, request_class : str
-        What the table of weights and limits goes by.
+        Row keys in the table of weights and limits.
     timeout_s : float or None
-        The time that the caller gives, in seconds.
+        Time limit set by the caller, in seconds.
     may_repeat : bool or None
-        Whether it may be sent to a target again after it may have run; None leaves it to the
-        table.
+        Whether the request may be sent again although it may have run; None applies the table's
+        value.
     idempotency_key : str
         Empty if the caller gave none.
     traceparent : str
@@ -89,7 +89,7 @@
 
 
 class _RequestReader:
-    """Reads fields and collects what is wrong with them."""
+    """Reads fields and headers, and collects a finding for each invalid one."""
 
     def __init__(self, body: Mapping[str, Any], headers: HeaderLookup):
         self.findings: list[Finding] = []
@@ -170,23 +170,23 @@
 def parse_completion(
     kind: str, raw: bytes, headers: HeaderLookup, organisation: str
 ) -> CallerRequest:
-    """Check a request for a completion.
+    """Parse and validate a completion request.
 
     Parameters
     ----------
     kind : str
         One of `RequestKind`.
     raw : bytes
-        The body.
+        Body of the HTTP request.
     headers : callable
-        Looks headers up.
+        See `HeaderLookup`.
     organisation : str
-        Whoever asks, as the site has identified it.
+        The caller's organisation, as identified by the site.
 
     Raises
     ------
     BadRequestError
-        With all findings.
+        If the request is invalid; carries all findings.
     """
     reader = _RequestReader(_json_object(raw), headers)
     body = reader._body
--- a/gladedrum/entry/responses.py
+++ b/gladedrum/entry/responses.py
@@ -1,7 +1,7 @@
-"""Responses in the shapes of the OpenAI interface, whole and streamed.
+"""Responses in the format of the OpenAI API, buffered and streamed.
 
-A stream ends with an event that carries the outcome, and then with ``[DONE]`` only if the
-answer is whole.
+A stream ends with an event that carries the outcome. ``[DONE]`` follows only if the answer is
+complete.
 """
 
 import json
@@ -47,7 +47,7 @@
 
 
 def finish_json(request: Request, status: int, body: object) -> None:
-    """Send a JSON response, unless the caller has gone."""
+    """Send a JSON response, unless the caller has disconnected."""
     if request._disconnected:
         return
     request.setResponseCode(status)
@@ -59,7 +59,7 @@
 def finish_with_findings(
     request: Request, request_id: str, status: int, findings: list[Finding], code: str | None
 ) -> None:
-    """Refuse a wrong request with everything that is wrong in it."""
+    """Refuse an invalid request with all of its findings."""
     _set_headers(request, request_id, "failed")
     error = {
         "message": "; ".join(str(f) for f in findings),
@@ -71,7 +71,7 @@
 
 
 def finish_outcome(request: Request, request_id: str, outcome: Outcome) -> None:
-    """Send the response of a request that has no answer to show."""
+    """Send the response to a request that ended without an answer."""
     _set_headers(request, request_id, outcome_name(outcome))
     wait_s = retry_after_s(outcome)
     if wait_s is not None:
@@ -80,7 +80,7 @@
 
 
 def finish_duplicate(request: Request, request_id: str, duplicate: Duplicate) -> None:
-    """Tell a second caller with the same idempotency key what became of the first request."""
+    """Respond to a reused idempotency key with the outcome of the first request."""
     _set_headers(request, request_id, outcome_name(duplicate.outcome))
     if duplicate.code == "still_running":
         request.setHeader(b"retry-after", str(RUNNING_RETRY_AFTER_S).encode())
@@ -96,18 +96,18 @@
 
 @implementer(IPushProducer)
 class StreamSink:
-    """Sends pieces to the caller as server-sent events, as fast as the caller reads.
+    """Streams pieces to the caller as server-sent events, with backpressure to the target.
 
     Parameters
     ----------
     request : Request
-        The caller's request.
+        The caller's HTTP request.
     request_id : str
-        The id that the caller is told.
+        Request id that is returned to the caller.
     req : CallerRequest
-        What the caller wants.
+        The parsed request.
     prompt_tokens : int
-        For the usage in the last event.
+        Estimated length of the prompt, for the usage in the last event.
     """
 
     def __init__(self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int):
@@ -123,13 +123,13 @@
         self._before_text, _, self._after_text = sample.partition(json.dumps(_TEXT_PLACEHOLDER))
 
     def attach(self, stream: AnswerStream) -> None:
-        """Take note of the stream that is paused while the caller reads slowly."""
+        """Set the stream to pause while the caller reads slowly."""
         self._stream = stream
         if self._paused:
             stream.pause()
 
     def pieces(self, pieces: list[Piece]) -> None:
-        """Send pieces that came together in one write."""
+        """Send the pieces of one chunk in a single write."""
         if self._request._disconnected:
             return
         if not self._started:
@@ -154,19 +154,19 @@
         self._request.finish()
 
     def pauseProducing(self) -> None:
-        """Stop reading from the target; the caller's connection is full."""
+        """Stop reading from the target, because the caller's send buffer is full."""
         self._paused = True
         if self._stream is not None:
             self._stream.pause()
 
     def resumeProducing(self) -> None:
-        """Read on."""
+        """Continue reading from the target."""
         self._paused = False
         if self._stream is not None:
             self._stream.resume()
 
     def stopProducing(self) -> None:
-        """Do nothing: the request's end is seen elsewhere."""
+        """Do nothing; the disconnect cancels the run."""
 
     def _start(self) -> None:
         self._started = True
@@ -178,8 +178,8 @@
     def _event(self, piece: Piece) -> bytes:
         """Return the event of a piece.
 
-        Everything but the text is the same in all events but the first and the last of a
-        stream, and there are many; so they are put together from prepared parts.
+        All events between the first and the last differ only in the text, so they are built from a
+        prepared prefix and suffix instead of being encoded as JSON each time.
         """
         text = encode_basestring_ascii(piece.text)
         if piece.offset > 0 and piece.finish_reason is None:
@@ -197,9 +197,9 @@
 
 
 class BufferedSink:
-    """Collects the pieces and sends the answer in one response.
+    """Buffers the pieces and sends the answer in one response.
 
-    Parameters are those of `StreamSink`.
+    The parameters are those of `StreamSink`.
     """
 
     def __init__(self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int):
@@ -211,10 +211,10 @@
         self._finish_reason: str | None = None
 
     def attach(self, stream: AnswerStream) -> None:
-        """Do nothing: a whole answer is read as fast as it comes."""
+        """Do nothing; a buffered answer needs no backpressure."""
 
     def pieces(self, pieces: list[Piece]) -> None:
-        """Keep pieces."""
+        """Buffer the pieces of one chunk."""
         self._texts += [piece.text for piece in pieces]
         self._finish_reason = pieces[-1].finish_reason
 
--- a/gladedrum/entry/retries.py
+++ b/gladedrum/entry/retries.py
@@ -1,15 +1,15 @@
-"""A budget that keeps retries to a share of first tries."""
+"""A retry budget, which limits retries to a share of first attempts."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Counts first tries and allows a share of them as retries.
+    """Token bucket of retries, refilled by first attempts.
 
     Parameters
     ----------
     reserve : float
-        Retries allowed at the start, and the most that can be saved up.
+        Initial and maximum balance, in retries.
 
     Examples
     --------
@@ -25,11 +25,11 @@
         self._balance = reserve
 
     def note_first_attempt(self, share: float) -> None:
-        """Count a first try, for which `share` retries are allowed."""
+        """Add `share` of a retry to the balance, for one first attempt."""
         self._balance = min(self._reserve, self._balance + share)
 
     def try_withdraw(self) -> bool:
-        """Take one retry out of the budget; False if there is none."""
+        """Withdraw one retry; return False if the balance is too low."""
         if self._balance < 1:
             return False
         self._balance -= 1
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -1,4 +1,4 @@
-"""The life of one completion request, from its arrival to its outcome."""
+"""Processing of one completion request, from its arrival to its outcome."""
 
 import logging
 import random
@@ -34,30 +34,30 @@
 
 @dataclass
 class RunContext:
-    """What all runs of a box share.
+    """State common to all runs on a box.
 
     Parameters
     ----------
     box : str
-        The name of this box.
+        Name of this box.
     clock : IReactorTime
-        A monotonic clock and timers.
+        Monotonic clock and timers.
     now_s : callable
-        The decision clock, in seconds.
+        Returns the time of the decision clock, in seconds.
     placer : Placer
-        Finds targets.
+        Places requests on targets.
     web : WebClient
-        Speaks to them.
+        HTTP client for calls to the targets.
     metrics : Metrics
-        Told what happens.
+        The box's metrics.
     traces : Traces
-        Gives spans.
+        Source of trace spans.
     retries : RetryBudget
-        Allows retries.
+        Limit on retries.
     own_sessions : set of str
-        The sessions that this box awaits.
+        Ids of the sessions that this box waits for.
     rng : random.Random
-        Spreads retries in time.
+        Source of backoff jitter.
     """
 
     box: str
@@ -73,24 +73,24 @@
 
 
 class CompletionRun:
-    """One request on its way.
+    """Places a request, makes attempts until one decides its outcome, and reports metrics.
 
     Parameters
     ----------
     ctx : RunContext
-        Shared by all runs.
+        State common to all runs.
     request_id : str
-        The id that the caller is told.
+        Request id that is returned to the caller.
     req : CallerRequest
         The request.
     prompt_tokens : int
-        The estimated length of the prompt.
+        Estimated length of the prompt.
     prefix : tuple of int
-        Digests of its leading part.
-    knobs : Effective
-        What the table says for it.
+        Digests of the prompt's prefixes; see `prefix_digests`.
+    params : Effective
+        Weights and limits of the table that apply to the request.
     sink : Sink
-        Where the answer goes.
+        Receiver of the answer.
     """
 
     def __init__(
@@ -112,11 +112,11 @@
         self._sink = sink
         self._life = new_lifecycle()
         self._offset = 0
-        self._attempts = 0
+        self._attempt_count = 0
         self._arrival_s = ctx.now_s()
         self._deadline_s = self._arrival_s + self._time_limit_s()
         self._last_piece_s: float | None = None
-        # The reservation whose owner has yet to be told of the first token.
+        # The reservation for which the first token has not been reported to the owner.
         self._awaiting_first_token: Placed | None = None
         self._failed_targets: frozenset[str] = frozenset()
         self._log = request_logger(_log, request_id)
@@ -138,13 +138,13 @@
 
     @property
     def offset(self) -> int:
-        """The number of answer tokens that have been handed on."""
+        """Number of answer tokens passed to the sink."""
         return self._offset
 
     async def run(self) -> Outcome:
-        """Serve the request within its time and return its outcome.
+        """Process the request until its deadline and return its outcome.
 
-        Cancelling the run ends the session on the target too.
+        Cancelling the run also cancels its sessions on the targets.
         """
         parent = context_from_header(self._req.traceparent)
         length = length_class(self._prompt_tokens)
@@ -157,7 +157,7 @@
             except defer.CancelledError:
                 outcome = self._life.outcome_if_ended("the caller has gone")
             except Exception:
-                self._log.exception("request failed by a fault of ours")
+                self._log.exception("request failed with an internal error")
                 outcome = self._life.outcome_if_ended("a fault in the serving layer")
             finally:
                 self._ctx.metrics.in_flight.dec()
@@ -191,7 +191,7 @@
         excluded: frozenset[str] = frozenset()
         self._ctx.retries.note_first_attempt(self._params.number("retry_share"))
         while True:
-            self._attempts += 1
+            self._attempt_count += 1
             parts = await self._place(excluded, span)
             if isinstance(parts, Refused):
                 return self._refusal_outcome(parts)
@@ -199,12 +199,12 @@
             if outcome is not None:
                 return outcome
             excluded = self._failed_targets
-            if self._attempts >= _MAX_ATTEMPTS or not self._ctx.retries.try_withdraw():
+            if self._attempt_count >= _MAX_ATTEMPTS or not self._ctx.retries.try_withdraw():
                 return self._life.outcome_if_ended(
                     "the targets did not serve it, and no retry is left"
                 )
             pause_s = backoff_s(
-                self._attempts, _RETRY_MIN_BACKOFF_S, _RETRY_MAX_BACKOFF_S, self._ctx.rng
+                self._attempt_count, _RETRY_MIN_BACKOFF_S, _RETRY_MAX_BACKOFF_S, self._ctx.rng
             )
             await sleep(self._ctx.clock, pause_s)
 
@@ -217,7 +217,7 @@
 
     async def _place(self, excluded: frozenset[str], span: Span) -> tuple[Placed, ...] | Refused:
         job = Job(
-            job_id=f"{self._id}.{self._attempts}",
+            job_id=f"{self._id}.{self._attempt_count}",
             organisation=self._req.organisation,
             request_class=self._req.request_class,
             prompt_tokens=self._prompt_tokens,
@@ -243,7 +243,7 @@
             return parts
 
     async def _attempt(self, parts: tuple[Placed, ...], span: Span) -> Outcome | None:
-        """Run the request on its targets; None if others may be tried."""
+        """Make one attempt; return None if the request may be retried on other targets."""
         self._awaiting_first_token = parts[-1]
         attempt = Attempt(
             self._attempt_context,
@@ -294,7 +294,7 @@
 
     def _on_target_failure(self, placed: Placed, exc: Exception) -> None:
         self._log.warning(
-            "trouble with a target",
+            "target failed a request",
             extra={"target": placed.target.name, "reason": str(exc), "offset": self._offset},
         )
         self._failed_targets |= {placed.target.name}
@@ -311,7 +311,7 @@
                 "class": self._req.request_class,
                 "prompt_tokens": self._prompt_tokens,
                 "answer_tokens": self._offset,
-                "tries": self._attempts,
+                "tries": self._attempt_count,
                 "seconds": round(self._ctx.now_s() - self._arrival_s, 4),
             },
         )
--- a/gladedrum/entry/services.py
+++ b/gladedrum/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, passed on to one of the targets that provide the service."""
+"""Forwarding of calls to plain services."""
 
 import logging
 import random
@@ -24,26 +24,26 @@
 
 
 class ServiceCall(NamedTuple):
-    """A call of a plain service.
+    """A call to a plain service.
 
     Parameters
     ----------
     request_id : str
-        The id that the caller is told.
+        Request id that is returned to the caller.
     service : str
-        The service's name.
+        Name of the service.
     method, path, query : str
-        As in HTTP; the path is the one below the service's name.
+        HTTP method, path relative to the service, and query string.
     content_type : str
-        The type of the body.
+        Content type of the body.
     body : bytes
-        Passed on as it is.
+        Body, forwarded unchanged.
     timeout_s : float
-        The time that the call has, in seconds.
+        Timeout of each attempt, in seconds.
     may_repeat : bool
-        Whether it may be sent again after it may have run.
+        Whether the call may be sent again although it may have run.
     traceparent : str
-        The caller's trace; empty for none.
+        The caller's W3C trace context; empty for none.
     """
 
     request_id: str
@@ -59,18 +59,18 @@
 
 
 class ServiceRouter:
-    """Chooses a target for each call: the one with the fewest calls of this box.
+    """Sends each call to the target with the fewest calls in flight from this box.
 
     Parameters
     ----------
     membership : Membership
-        Knows the targets.
+        The known targets.
     client : ServiceClient
-        Makes the calls.
+        Client for the calls.
     metrics : Metrics
-        Counts outcomes.
+        Counter of outcomes.
     traces : Traces
-        Gives spans.
+        Source of trace spans.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         return bool(self._membership.directory.services(service))
 
     async def call(self, call: ServiceCall) -> ServiceReply | Outcome:
-        """Make a call; returns the service's answer, or an outcome if there is none."""
+        """Make a call; return the service's reply, or an outcome if there is no reply."""
         parent = context_from_header(call.traceparent)
         log = request_logger(_log, call.request_id)
         with self._traces.tracer.start_as_current_span("service", context=parent) as span:
@@ -134,5 +134,5 @@
 
 
 def no_such_service(service: str) -> Failed:
-    """Return the outcome of a call of a service that nobody provides."""
+    """Return the outcome of a call to a service that no target provides."""
     return Failed(f"there is no service {service!r}", HTTPStatus.NOT_FOUND)
--- a/gladedrum/entry/site.py
+++ b/gladedrum/entry/site.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface."""
+"""HTTP interface for callers: completions, chat completions, models and plain services."""
 
 import itertools
 import secrets
@@ -60,29 +60,29 @@
 _DRAIN_RETRY_AFTER_S = 1.0
 
 _MAX_RECORDING_S = 5.0
-"""How long a stop waits until the outcomes of claimed requests are written, in seconds: a sound
-store takes milliseconds, and a claim without its outcome is in doubt for as long as it is kept."""
+"""Maximum time that a stop waits for outcomes of claimed requests to be recorded, in seconds. A
+claim without a recorded outcome stays in doubt until it expires."""
 
 
 class EntrySite:
-    """The routes that callers use.
+    """The HTTP routes for callers.
 
     Parameters
     ----------
     cfg : Settings
-        Read for the ``[entry]`` section.
+        Source of the ``[entry]`` settings.
     ctx : RunContext
-        Shared by all runs.
+        State common to all runs.
     membership : Membership
-        Knows models and services.
+        The known models and services.
     services : ServiceRouter
-        Passes service calls on.
+        Forwards service calls.
     claims : Claims
-        Claims idempotency keys.
+        Claims on idempotency keys.
     ask_running : callable
-        See `AskRunning`.
+        Asks other boxes for their running requests; see `AskRunning`.
     table : callable
-        Returns the table of weights and limits in force.
+        Returns the current table of weights and limits.
     """
 
     app = Klein()
@@ -108,14 +108,14 @@
         pairs = (pair.partition(":") for pair in cfg.get(API_KEYS))
         self._organisations = {key: organisation for key, _, organisation in pairs}
         self._request_numbers = itertools.count(1)
-        # Random, so that ids of a box that was restarted under its old name are new.
+        # Random, so that a restarted box of the same name does not reuse request ids.
         self._id_prefix = f"{ctx.box}-{secrets.token_hex(4)}"
         self._draining = False
         self._in_flight: set[defer.Deferred] = set()
         self._drained: defer.Deferred[None] | None = None
 
     def drain(self) -> defer.Deferred[None]:
-        """Take no new requests; fires once those in flight have ended and are written down."""
+        """Accept no new requests; fires once those in flight have ended and are recorded."""
         self._draining = True
         self._drained = defer.Deferred() if self._in_flight else defer.succeed(None)
         return self._drained.addCallback(
@@ -134,7 +134,7 @@
 
     @app.route("/v1/models", methods=["GET"])
     def models(self, request: Request):
-        """List the models that some target serves."""
+        """List the models that at least one target serves."""
         rows = [
             {"id": name, "object": "model", "created": 0, "owned_by": "gladedrum"}
             for name in self._membership.directory.models()
@@ -144,7 +144,7 @@
     @app.route("/services/<service>/", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
     @app.route("/services/<service>/<path:path>", methods=["GET", "POST", "PUT", "DELETE", "PATCH"])
     def service(self, request: Request, service: str, path: str = ""):
-        """Pass a call on to a plain service."""
+        """Forward a call to a plain service."""
         request_id = self._new_id()
         if self._refuse_if_draining(request, request_id):
             return None
@@ -167,7 +167,7 @@
 
     @app.route("/", branch=True)
     def unknown(self, request: Request):
-        """Say that there is nothing here."""
+        """Respond with status 404."""
         path = request.path.decode("latin-1")
         finding = Finding("path", f"there is nothing at {request.method.decode()} {path}")
         status = HTTPStatus.NOT_FOUND
@@ -229,7 +229,7 @@
     def _refuse_if_impossible(
         self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int
     ) -> bool:
-        """Refuse what no target could ever serve; True if it was refused."""
+        """Refuse a request that no target can serve; return True if it was refused."""
         if not self._membership.directory_read:
             outcome = NotRun("the list of targets is not known yet")
             finish_outcome(request, request_id, outcome)
@@ -298,7 +298,7 @@
         request.finish()
 
     def _track(self, run: defer.Deferred[None]) -> defer.Deferred[None]:
-        """Count a run as in flight until it ends; Klein cancels it if the caller goes."""
+        """Track a run until it ends; Klein cancels it if the caller disconnects."""
         self._in_flight.add(run)
 
         def ended(result: object) -> object:
--- a/gladedrum/entry/tests/test_attempt.py
+++ b/gladedrum/entry/tests/test_attempt.py
@@ -1,4 +1,4 @@
-"""A session that still runs on its engine is not given up while nothing can take its place."""
+"""A session that may still be running is resumed when the request must not be repeated."""
 
 import random
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 class _Engine:
-    """An engine whose session goes on whatever becomes of its connections."""
+    """An engine whose session survives the loss of its connections."""
 
     def __init__(self, *resumes, opens=True):
         self.resumes, self.opens, self.cancelled = list(resumes), opens, []
@@ -76,26 +76,26 @@
 
 
 @pytest.mark.parametrize("again", [BROKEN, AWAY, TargetBrokenError("no answer")])
-def test_an_answer_that_can_t_be_had_elsewhere_is_resumed_more_than_once(again):
-    """The second failure to reach it ended the session, which was still writing."""
+def test_an_unrepeatable_request_is_resumed_more_than_once(again):
+    """A failed resume must not cancel a session that is still running."""
     engine = _Engine(again, None)
     assert run(engine) == Completed()
     assert not engine.cancelled
 
 
-def test_an_answer_whose_head_was_lost_is_resumed_if_it_can_t_be_had_elsewhere():
-    """Its session may have begun; it was cancelled, and its caller told that it may have run."""
+def test_an_unrepeatable_request_whose_response_head_was_lost_is_resumed():
+    """Its session may have started, so it must not be cancelled with an unknown outcome."""
     engine = _Engine(None, opens=False)
     assert run(engine) == Completed()
     assert not engine.cancelled
 
 
-def test_a_session_that_is_gone_is_not_asked_for_again():
+def test_a_session_that_is_gone_is_not_resumed_again():
     engine = _Engine(GONE)
     assert isinstance(run(engine), Failed)
     assert engine.cancelled
 
 
-def test_resuming_ends_and_a_request_that_may_be_repeated_goes_elsewhere_at_once():
+def test_resumes_are_limited_and_a_repeatable_request_is_retried_elsewhere_at_once():
     assert isinstance(run(_Engine(*[AWAY] * 50)), Failed)
     assert run(_Engine(AWAY), may_repeat=True) is None
--- a/gladedrum/entry/tests/test_lifecycle.py
+++ b/gladedrum/entry/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""What is known of a request in each state decides what its caller is told."""
+"""The state of a request decides the outcome that its caller gets."""
 
 from gladedrum.entry.lifecycle import new_lifecycle
 from gladedrum.outcome import Failed, NotRun, Unknown
@@ -15,16 +15,16 @@
     assert _outcome_after() is NotRun
 
 
-def test_sent_without_a_word_is_unknown():
+def test_sent_without_a_response_is_unknown():
     assert _outcome_after("send") is Unknown
 
 
-def test_the_target_s_word_makes_it_not_run():
+def test_confirmed_as_not_started_is_not_run():
     assert _outcome_after("send", "not_started") is NotRun
 
 
-def test_a_second_target_s_word_says_nothing_of_the_first():
-    """A retry that was refused once turned a request that may have run into one not run."""
+def test_a_second_target_s_confirmation_does_not_cover_the_first():
+    """A refused retry must not turn a request that may have run into one that has not run."""
     assert _outcome_after("send", "in_doubt", "send", "not_started") is Unknown
 
 
@@ -33,5 +33,5 @@
     assert _outcome_after("send", "answer", "in_doubt", "send", "not_started") is Failed
 
 
-def test_each_segment_is_sent_on_its_own():
+def test_each_segment_is_sent_separately():
     assert _outcome_after("send", "send", "answer", "finish") is Failed
--- a/gladedrum/entry/tests/test_once.py
+++ b/gladedrum/entry/tests/test_once.py
@@ -1,4 +1,4 @@
-"""A claimed key is always settled, also when its caller goes away."""
+"""An outcome is recorded for every claimed key, also if the caller disconnects."""
 
 from twisted.internet import defer
 
@@ -36,14 +36,14 @@
     return Completed()
 
 
-def test_a_held_key_is_settled_with_the_outcome():
+def test_the_outcome_of_a_claimed_key_is_recorded():
     claims = _Claims(defer.succeed(Acquired()))
     _, results = _run(claims, _complete)
     assert results == claims.recorded == [Completed()]
 
 
-def test_a_caller_that_goes_while_the_key_is_claimed_leaves_no_claim_behind():
-    """The key once stayed claimed for a request that never ran."""
+def test_a_disconnect_during_the_claim_is_recorded_as_not_run():
+    """Otherwise the key would stay claimed for a request that never ran."""
     claims = _Claims(defer.Deferred())
     task, _ = _run(claims, _complete)
     task.addErrback(lambda _failure: None)
@@ -51,7 +51,7 @@
     assert [type(outcome) for outcome in claims.recorded] == [NotRun]
 
 
-def test_a_caller_that_goes_while_the_request_runs_leaves_it_unknown():
+def test_a_disconnect_during_the_run_is_recorded_as_unknown():
     claims = _Claims(defer.succeed(Acquired()))
     task, _ = _run(claims, lambda: defer.Deferred())
     task.addErrback(lambda _failure: None)
@@ -66,7 +66,7 @@
     return results[0].code
 
 
-def test_a_second_caller_learns_whether_the_first_request_still_runs():
+def test_a_duplicate_reports_whether_the_first_request_still_runs():
     assert _older(["first"]) == "still_running"
     assert _older(None) == "still_running"
     assert _older([]) == "outcome_unknown"
