--- a/gladedrum/claims/__init__.py
+++ b/gladedrum/claims/__init__.py
@@ -2,7 +2,7 @@
 
 A box claims the key in the key-value service before it sends anything to a target, and records
 the outcome of the request afterwards. A second request with the same key finds that claim and
-does not run.
+is not run, unless the first one did not run.
 """
 
 from .book import *
--- a/gladedrum/claims/tests/test_interleavings.py
+++ b/gladedrum/claims/tests/test_interleavings.py
@@ -80,7 +80,7 @@
     return Take(_KEY, claim)
 
 
-def _run(given, boxes, max_faults, limits, settle_as):
+def _run(given, boxes, max_faults, limits, outcome_state):
     """Run one path; return its choices and the boxes that acquired the key."""
     kv, path = _FakeKV(), _Path(given)
     shards = {b: ClaimShard("claims/0/", kv.client(b), lambda: 0.0, limits) for b in boxes}
@@ -89,8 +89,8 @@
     def answered(result, box):
         if isinstance(result, Applied):
             held.append(box)
-            if settle_as is not None:
-                recorded = Claim(f"request-{box}", box, "body", settle_as, 0.0)
+            if outcome_state is not None:
+                recorded = Claim(f"request-{box}", box, "body", outcome_state, 0.0)
                 shards[box].submit(RecordOutcome(_KEY, recorded)).addErrback(lambda _f: None)
 
     for box in boxes:
@@ -132,11 +132,11 @@
     return path.taken, held
 
 
-def _explore(boxes, max_faults, limits, settle_as=None, bound=60_000):
+def _explore(boxes, max_faults, limits, outcome_state=None, bound=60_000):
     """Run every path of choices, depth first; yield the boxes that acquired the key."""
     outcomes, runs, given = Counter(), 0, []
     while True:
-        taken, held = _run(given, boxes, max_faults, limits, settle_as)
+        taken, held = _run(given, boxes, max_faults, limits, outcome_state)
         runs += 1
         outcomes[len(held)] += 1
         yield held
@@ -164,13 +164,14 @@
 
 def test_a_key_that_completed_is_never_held_again():
     limits = ShardLimits(bucket_claims=1)
-    for held in _explore(("a", "b"), 1, limits, settle_as=ClaimState.COMPLETED):
+    for held in _explore(("a", "b"), 1, limits, outcome_state=ClaimState.COMPLETED):
         assert len(held) <= 1, held
 
 
 def test_a_key_whose_request_did_not_run_can_be_held_again():
     holders = {
-        len(held) for held in _explore(("a", "b"), 0, ShardLimits(), settle_as=ClaimState.NOT_RUN)
+        len(held)
+        for held in _explore(("a", "b"), 0, ShardLimits(), outcome_state=ClaimState.NOT_RUN)
     }
     assert holders == {1, 2}
 
--- a/gladedrum/entry/once.py
+++ b/gladedrum/entry/once.py
@@ -1,7 +1,7 @@
 """Execution of requests with an idempotency key.
 
 A request runs only after it has claimed its key, and its outcome is recorded with the claim. A
-later request with the same key is answered with a `Duplicate`.
+later request with the same key is answered with a `Duplicate`, unless the first did not run.
 """
 
 from collections.abc import Awaitable, Callable
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -169,16 +169,18 @@
             excluded |= refusing
         return refusal
 
-    def release(self, placed: Placed) -> None:
+    def release(self, reservation: Placed) -> None:
         """Release a reservation; does nothing if it was released before."""
-        if self._held.pop(placed.job.job_id, None) is None:
+        if self._held.pop(reservation.job.job_id, None) is None:
             return
-        del self._informed_owners[placed.job.job_id]
-        self._gateway.release(placed.owner, placed.target, placed.job.job_id)
+        del self._informed_owners[reservation.job.job_id]
+        self._gateway.release(reservation.owner, reservation.target, reservation.job.job_id)
 
-    def first_token(self, placed: Placed) -> None:
+    def first_token(self, reservation: Placed) -> None:
         """Report to the owner that the first token has arrived."""
-        self._gateway.first_token(placed.owner, placed.target.name, placed.job.job_id)
+        self._gateway.first_token(
+            reservation.owner, reservation.target.name, reservation.job.job_id
+        )
 
     def hand_over_soon(self) -> None:
         """Schedule the hand-over of running requests to new owners; call when owners change."""
@@ -197,11 +199,11 @@
         """Send each reservation to its target's owner, unless that owner already has it."""
         self._hand_over_call = None
         by_target: defaultdict[str, list[Placed]] = defaultdict(list)
-        for placed in self._held.values():
-            owner = self._membership.owner_of(placed.target)
-            if self._informed_owners.get(placed.job.job_id) != owner.name:
-                self._informed_owners[placed.job.job_id] = owner.name
-                by_target[placed.target.name].append(placed)
+        for reservation in self._held.values():
+            owner = self._membership.owner_of(reservation.target)
+            if self._informed_owners.get(reservation.job.job_id) != owner.name:
+                self._informed_owners[reservation.job.job_id] = owner.name
+                by_target[reservation.target.name].append(reservation)
         for held in by_target.values():
             self._gateway.hand_over(held[0].target, [(p.job, p.policy) for p in held])
 
@@ -266,17 +268,17 @@
     ) -> tuple[Placed, ...] | Refused:
         """Reserve on all targets, in this order, or on none."""
         parts: list[Placed] = []
-        whole = False
+        complete = False
         try:
             for job, target in zip(jobs, targets, strict=True):
                 answer = await self._reserve_one(job, options, target)
                 if isinstance(answer, Refused):
                     return answer
                 parts.append(answer)
-            whole = True
+            complete = True
             return tuple(parts)
         finally:
-            if not whole:
+            if not complete:
                 for part in parts:
                     self.release(part)
 
@@ -290,10 +292,10 @@
             return answer
         return self._hold(Placed(job, options.policy, target, owner, answer.priority))
 
-    def _hold(self, placed: Placed) -> Placed:
-        self._held[placed.job.job_id] = placed
-        self._informed_owners[placed.job.job_id] = placed.owner.name
-        return placed
+    def _hold(self, reservation: Placed) -> Placed:
+        self._held[reservation.job.job_id] = reservation
+        self._informed_owners[reservation.job.job_id] = reservation.owner.name
+        return reservation
 
     def _policy_or_default(self, name: str) -> str:
         try:
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -292,14 +292,14 @@
     def _on_dropped(self, why: str) -> None:
         self._ctx.metrics.dropped_pieces.labels(why).inc()
 
-    def _on_target_failure(self, placed: Placed, exc: Exception) -> None:
+    def _on_target_failure(self, reservation: Placed, exc: Exception) -> None:
         self._log.warning(
             "target failed a request",
-            extra={"target": placed.target.name, "reason": str(exc), "offset": self._offset},
+            extra={"target": reservation.target.name, "reason": str(exc), "offset": self._offset},
         )
-        self._failed_targets |= {placed.target.name}
+        self._failed_targets |= {reservation.target.name}
         if not isinstance(exc, TargetRefusedError):
-            self._ctx.placer.avoid(placed.target.name)
+            self._ctx.placer.avoid(reservation.target.name)
 
     def _log_end(self, outcome: Outcome) -> None:
         self._log.info(
--- a/gladedrum/entry/services.py
+++ b/gladedrum/entry/services.py
@@ -96,13 +96,13 @@
                 "gladedrum-request-id": call.request_id,
                 "traceparent": header_of_span(span),
             }
-            answer = await self._try_targets(call, headers)
+            answer = await self._call_targets(call, headers)
         name = "completed" if isinstance(answer, ServiceReply) else outcome_name(answer)
         self._metrics.outcomes.labels(name, _LENGTH_LABEL).inc()
         log.info("service call ended", extra={"outcome": name, "service": call.service})
         return answer
 
-    async def _try_targets(
+    async def _call_targets(
         self, call: ServiceCall, headers: dict[str, str]
     ) -> ServiceReply | Outcome:
         answer: ServiceReply | Outcome = NotRun("no target provides the service", _RETRY_AFTER_S)
--- a/gladedrum/entry/tests/test_attempt.py
+++ b/gladedrum/entry/tests/test_attempt.py
@@ -18,7 +18,9 @@
 from gladedrum.utils import start
 
 JOB = Job("job", "org", "class", 1000, 10, 0.0, 1000.0)
-PLACED = Placed(JOB, "fair_slack", Target("e", "engine", "http://127.0.0.1:3"), Box("b", "", 1), 0)
+RESERVATION = Placed(
+    JOB, "fair_slack", Target("e", "engine", "http://127.0.0.1:3"), Box("b", "", 1), 0
+)
 BROKEN, GONE = TargetBrokenError("reset"), TargetRefusedError("no such session", 404)
 AWAY = TargetUnreachableError("refused")
 
@@ -67,7 +69,7 @@
         on_dropped=lambda _why: None,
         on_target_failure=lambda _placed, _exc: None,
     )
-    attempt = Attempt(ctx, (PLACED,), "m", "prompt", 10, may_repeat)
+    attempt = Attempt(ctx, (RESERVATION,), "m", "prompt", 10, may_repeat)
     attempt._engines = [engine]
     results = []
     start(attempt.run(None)).addBoth(results.append)
