--- a/gladedrum/claims/core.py
+++ b/gladedrum/claims/core.py
@@ -41,7 +41,8 @@
 _PREFIX = "gladedrum/claims"
 _RECORD_MIN_BACKOFF_S, _RECORD_MAX_BACKOFF_S = 0.2, 15.0
 _MAX_RECORD_ATTEMPTS = 200
-_TIMESTAMPED_UUID_VERSION = 7  # UUID version 7 starts with a Unix timestamp in milliseconds
+# A UUID of version 7 starts with a Unix timestamp in milliseconds.
+_TIMESTAMPED_UUID_VERSION = 7
 _MS_PER_S = 1_000
 
 _log = logging.getLogger(__name__)
