--- a/gladedrum/targets/owner.py
+++ b/gladedrum/targets/owner.py
@@ -1,7 +1,7 @@
 """The owner of one target: polls it, keeps its queue and grants reservations.
 
-Each target has one owner among the boxes, chosen by `peers.membership`. A box acts as owner of any
-target for which it receives a request, so boxes that disagree on the owner are both served.
+Each target has one owner among the boxes; `peers.membership` decides which. A box acts as owner
+of any target for which it receives a request, so boxes that disagree on the owner are both served.
 """
 
 import logging
