--- a/gladedrum/claims/tests/test_settling.py
+++ b/gladedrum/claims/tests/test_settling.py
@@ -41,7 +41,7 @@
     assert ended
 
 
-def test_a_stop_does_not_wait_for_an_unavailable_store():
+def test_a_stop_waits_only_a_bounded_time_for_an_unavailable_store():
     clock, _shard, ended = recording(within_s=5.0)
     clock.advance(5.0)
     assert ended
