--- a/gladedrum/entry/body.py
+++ b/gladedrum/entry/body.py
@@ -1,4 +1,4 @@
-"""Reading of callers' request bodies: bounded in size and time, and never put on a disk."""
+"""Reading of request bodies, limited in size and time and kept in memory only."""
 
 import io
 import json
@@ -21,13 +21,14 @@
     unit="s", minimum=0.1, maximum=3_600,
 )  # fmt: skip
 
-_IDLE_TIME_S = 60
-# A body that is somewhat too large is read to its end, so that the caller sees the answer.
-_DRAINED_BODIES = 4
+_IDLE_TIMEOUT_S = 60
+# A body up to this multiple of the limit is read to its end, so that the caller can finish sending
+# and read the error response.
+_MAX_DISCARD_FACTOR = 4
 
 
 class _BoundedBody(io.BytesIO):
-    """A buffer that keeps no more than a limit and counts the rest."""
+    """A buffer that stores data up to a limit and only counts what follows."""
 
     def __init__(self, limit_bytes: int):
         super().__init__()
@@ -46,19 +47,21 @@
 
 
 class _CallerRequest(Request):
-    """A request whose body is held in memory within the site's bounds."""
+    """A request that applies the site's limits to its body."""
 
     _timer: IDelayedCall | None = None
 
     def gotLength(self, length: int | None) -> None:
         site: CallerSite = self.channel.site
         self.content = _BoundedBody(site.max_body_bytes)
-        self._timer = site.reactor.callLater(site.body_time_s, self._give_up)
+        self._timer = site.reactor.callLater(site.body_time_s, self._on_body_timeout)
 
     def handleContentChunk(self, data: bytes) -> None:
         super().handleContentChunk(data)
-        if self.content.received_bytes > _DRAINED_BODIES * self.content.limit_bytes:
-            self._cut(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is much too large")
+        if self.content.received_bytes > _MAX_DISCARD_FACTOR * self.content.limit_bytes:
+            self._reject_and_close(
+                HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "the body is much too large"
+            )
 
     def process(self) -> None:
         self._stop_timer()
@@ -77,11 +80,11 @@
         self._stop_timer()
         super().connectionLost(reason)
 
-    def _give_up(self) -> None:
+    def _on_body_timeout(self) -> None:
         self._timer = None
-        self._cut(HTTPStatus.REQUEST_TIMEOUT, "body: did not arrive in time")
+        self._reject_and_close(HTTPStatus.REQUEST_TIMEOUT, "body: did not arrive in time")
 
-    def _cut(self, status: HTTPStatus, message: str) -> None:
+    def _reject_and_close(self, status: HTTPStatus, message: str) -> None:
         self._stop_timer()
         body = _error_body(message)
         head = (
@@ -99,20 +102,20 @@
 
 
 class CallerSite(Site):
-    """A site whose requests keep to the settings' bounds.
+    """A site that limits the size and the arrival time of request bodies.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Where the timers live.
+        Clock for the timers.
     resource : IResource
-        What is served.
+        Root resource.
     cfg : Settings
-        Read for `MAX_BODY` and `BODY_TIME`.
+        Source of `MAX_BODY` and `BODY_TIME`.
     """
 
     def __init__(self, reactor, resource, cfg: Settings):
-        super().__init__(resource, requestFactory=_CallerRequest, timeout=_IDLE_TIME_S)
+        super().__init__(resource, requestFactory=_CallerRequest, timeout=_IDLE_TIMEOUT_S)
         self.reactor = reactor
         self.max_body_bytes = cfg.get(MAX_BODY)
         self.body_time_s = cfg.get(BODY_TIME)
--- a/gladedrum/entry/connections.py
+++ b/gladedrum/entry/connections.py
@@ -1,4 +1,4 @@
-"""The callers' connections, counted so that a planned stop can wait for their last bytes."""
+"""Tracking of callers' connections, so that a planned stop can flush them."""
 
 from twisted.internet import defer
 from twisted.internet.interfaces import IProtocolFactory, IReactorTime
@@ -6,18 +6,18 @@
 
 __all__ = ["CountedConnections"]
 
-_CLOSE_TIME_S = 5.0
+_MAX_CLOSE_S = 5.0
 
 
 class CountedConnections(WrappingFactory):
-    """Wraps the factory of a server and knows its open connections.
+    """Wraps the protocol factory of a server and tracks its open connections.
 
     Parameters
     ----------
     wrapped : IProtocolFactory
-        The factory of the server.
+        Protocol factory of the server.
     clock : IReactorTime
-        Where the bound on closing is waited for.
+        Timer for the time limit of `close`.
     """
 
     noisy = False
@@ -25,23 +25,23 @@
     def __init__(self, wrapped: IProtocolFactory, clock: IReactorTime):
         super().__init__(wrapped)
         self._clock = clock
-        self._emptied: defer.Deferred[None] | None = None
+        self._all_closed: defer.Deferred[None] | None = None
 
     def unregisterProtocol(self, p: ProtocolWrapper) -> None:
-        """Note that a connection has ended."""
+        """Remove a connection that has ended."""
         super().unregisterProtocol(p)
-        if not self.protocols and self._emptied is not None and not self._emptied.called:
-            self._emptied.callback(None)
+        if not self.protocols and self._all_closed is not None and not self._all_closed.called:
+            self._all_closed.callback(None)
 
     def close(self) -> defer.Deferred[None]:
-        """Close all connections once what was written to them has left; fires then.
+        """Flush and close all connections; the deferred fires when they are closed.
 
-        A caller that does not read cannot hold this up for longer than a bound.
+        It also fires after `_MAX_CLOSE_S`, so that a caller that does not read cannot block a stop.
         """
         if not self.protocols:
             return defer.succeed(None)
-        self._emptied = defer.Deferred()
+        self._all_closed = defer.Deferred()
         for protocol in list(self.protocols):
             protocol.loseConnection()
-        self._emptied.addTimeout(_CLOSE_TIME_S, self._clock)
-        return self._emptied.addErrback(lambda _failure: None)
+        self._all_closed.addTimeout(_MAX_CLOSE_S, self._clock)
+        return self._all_closed.addErrback(lambda _failure: None)
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -1,4 +1,8 @@
-"""Finding a target for a request and holding its reservation."""
+"""Placement: choosing targets for a request and reserving memory on them.
+
+The box that received the request asks the owners of candidate targets for quotes, reserves on the
+best of them, and renews the reservations until the request ends.
+"""
 
 import logging
 from collections import defaultdict
@@ -28,10 +32,10 @@
 
 __all__ = ["Placed", "Placer"]
 
-_ROUNDS = 4
-_RENEWALS_PER_LAPSE = 4
-_NO_TARGET_RETRY_S = 2.0
-_DISTRUST_S = 3.0
+_MAX_ROUNDS = 4
+_RENEWALS_PER_LIFETIME = 4
+_NO_TARGET_RETRY_AFTER_S = 2.0
+_AVOID_AFTER_FAILURE_S = 3.0
 
 _log = logging.getLogger(__name__)
 
@@ -42,15 +46,15 @@
     Parameters
     ----------
     job : Job
-        The request.
+        The request, or its segment.
     policy : str
-        The policy that it came under.
+        Name of the placement policy that was applied.
     target : Target
-        Where it may run.
+        The reserved target.
     owner : Box
-        Who granted it.
+        The box that granted the reservation.
     priority : int
-        What the engine is to be told.
+        Scheduling priority to send to the engine.
     """
 
     job: Job
@@ -60,26 +64,26 @@
     priority: int
 
 
-class _How(NamedTuple):
-    """What all reservations of one request share."""
+class _ReservationOptions(NamedTuple):
+    """Parameters common to all reservations of one request."""
 
     policy: str
     traceparent: str
 
 
 class Placer:
-    """Asks owners for quotes and reservations, and renews what is held.
+    """Asks owners for quotes and reservations, and renews the reservations.
 
     Parameters
     ----------
     clock : IReactorTime
-        Where the timers live.
+        Clock for the timers.
     cfg : Settings
-        Read for the ``[targets]`` section.
+        Source of the ``[targets]`` settings.
     membership : Membership
-        Knows boxes and targets.
+        The known boxes and targets.
     gateway : OwnerGateway
-        Reaches the owners.
+        Sends calls to the owners.
     """
 
     def __init__(
@@ -94,24 +98,24 @@
         self._membership = membership
         self._gateway = gateway
         self._held: dict[str, Placed] = {}
-        self._told: dict[str, str] = {}
+        self._informed_owners: dict[str, str] = {}
         self._hand_over_call: IDelayedCall | None = None
-        self._distrusted_until: dict[str, float] = {}
+        self._avoided_until_s: dict[str, float] = {}
 
-    def can_ever_hold(
+    def can_ever_fit(
         self, model: str, policy_name: str, prompt_tokens: int, output_tokens: int
     ) -> bool:
-        """Return False if a policy has no way for a request on all engines of its model."""
+        """Return False if a policy can never place a request on the engines of its model."""
         memories = [t.memory_tokens for t in self._membership.directory.engines(model)]
         if not memories:
             return True
-        rule = policy(self._known_policy(policy_name)).segments
+        rule = policy(self._policy_or_default(policy_name)).segments
         count = len(memories)
         return bool(plan_segments(prompt_tokens, output_tokens, min(memories), count, rule))
 
-    def distrust(self, target: str) -> None:
-        """Leave a target out for a while, because a request on it has just gone wrong."""
-        self._distrusted_until[target] = self._clock.seconds() + _DISTRUST_S
+    def avoid(self, target: str) -> None:
+        """Exclude a target from placement for a few seconds after a failed request."""
+        self._avoided_until_s[target] = self._clock.seconds() + _AVOID_AFTER_FAILURE_S
 
     async def place(
         self,
@@ -128,76 +132,78 @@
         job : Job
             The request.
         model : str
-            The model that the targets must serve.
+            Model that the targets must serve.
         policy_name : str
-            The policy that decides.
+            Name of the placement policy.
         exclude : frozenset of str
-            Targets that are out of the question.
+            Names of targets to exclude.
         traceparent : str
-            The trace that the owners' spans belong to; empty for none.
+            W3C trace context for the owners' spans; empty for none.
 
         Returns
         -------
         tuple of Placed, or Refused
-            One reservation, or one for each segment of a long prompt. Whoever gets them must
-            `release` each of them in the end.
+            One reservation, or one for each segment of a long prompt. The caller must
+            `release` each of them.
         """
-        policy_name = self._known_policy(policy_name)
-        how = _How(policy_name, traceparent)
+        policy_name = self._policy_or_default(policy_name)
+        options = _ReservationOptions(policy_name, traceparent)
         jobs = self._jobs_of(job, model, policy_name)
-        refusal = Refused("no target answers for this model", _NO_TARGET_RETRY_S)
-        asked: frozenset[str] = exclude
-        for _ in range(_ROUNDS):
-            targets = self._candidates(jobs, model, policy_name, asked)
+        refusal = Refused("no target answers for this model", _NO_TARGET_RETRY_AFTER_S)
+        excluded: frozenset[str] = exclude
+        for _ in range(_MAX_ROUNDS):
+            targets = self._candidates(jobs, model, policy_name, excluded)
             if len(targets) < max(1, len(jobs)):
                 break
             quotes = await self._gateway.quotes(targets, jobs[0], policy_name)
-            answer = await self._reserve(jobs, how, targets, quotes)
+            answer = await self._reserve(jobs, options, targets, quotes)
             if isinstance(answer, tuple):
                 return answer
             if answer is None:
-                # An owner was lost and has been replaced by now; its targets stay in play.
+                # An owner was lost and has been replaced. Its targets remain candidates.
                 continue
             refusal = answer
             refusing = {name for name, quote in quotes.items() if quote.refused is not None}
             if not refusing:
                 break
-            asked |= refusing
+            excluded |= refusing
         return refusal
 
-    def release(self, placed: Placed) -> None:
-        """Give a reservation back."""
-        if self._held.pop(placed.job.job_id, None) is None:
+    def release(self, reservation: Placed) -> None:
+        """Release a reservation; does nothing if it was released before."""
+        if self._held.pop(reservation.job.job_id, None) is None:
             return
-        del self._told[placed.job.job_id]
-        self._gateway.release(placed.owner, placed.target, placed.job.job_id)
+        del self._informed_owners[reservation.job.job_id]
+        self._gateway.release(reservation.owner, reservation.target, reservation.job.job_id)
 
-    def first_token(self, placed: Placed) -> None:
-        """Tell the owner that the first token has come."""
-        self._gateway.first_token(placed.owner, placed.target.name, placed.job.job_id)
+    def first_token(self, reservation: Placed) -> None:
+        """Report to the owner that the first token has arrived."""
+        self._gateway.first_token(
+            reservation.owner, reservation.target.name, reservation.job.job_id
+        )
 
     def hand_over_soon(self) -> None:
-        """Tell new owners of the running requests, because owners have changed."""
+        """Schedule the hand-over of running requests to new owners; call when owners change."""
         if self._hand_over_call is None:
             self._hand_over_call = self._clock.callLater(0, self._hand_over)
 
     async def run(self) -> None:
-        """Renew all reservations from time to time, until cancelled."""
-        interval_s = self._cfg.get(RENEWAL) / _RENEWALS_PER_LAPSE
+        """Renew all reservations periodically until cancelled."""
+        interval_s = self._cfg.get(RENEWAL) / _RENEWALS_PER_LIFETIME
         await repeat(self._clock, interval_s, self._renew)
 
     def _renew(self) -> None:
         self._gateway.renew((p.target, p.job.job_id) for p in self._held.values())
 
     def _hand_over(self) -> None:
-        """Hand the requests over whose target's owner is not the one that was last told."""
+        """Send each reservation to its target's owner, unless that owner already has it."""
         self._hand_over_call = None
         by_target: defaultdict[str, list[Placed]] = defaultdict(list)
-        for placed in self._held.values():
-            owner = self._membership.owner_of(placed.target)
-            if self._told.get(placed.job.job_id) != owner.name:
-                self._told[placed.job.job_id] = owner.name
-                by_target[placed.target.name].append(placed)
+        for reservation in self._held.values():
+            owner = self._membership.owner_of(reservation.target)
+            if self._informed_owners.get(reservation.job.job_id) != owner.name:
+                self._informed_owners[reservation.job.job_id] = owner.name
+                by_target[reservation.target.name].append(reservation)
         for held in by_target.values():
             self._gateway.hand_over(held[0].target, [(p.job, p.policy) for p in held])
 
@@ -215,7 +221,7 @@
         engines = {
             t.name: t
             for t in self._membership.directory.engines(model)
-            if t.name not in exclude and self._distrusted_until.get(t.name, 0.0) <= now_s
+            if t.name not in exclude and self._avoided_until_s.get(t.name, 0.0) <= now_s
         }
         views = [TargetView(t.name, t.memory_tokens) for t in engines.values()]
         names = policy(policy_name).candidates(jobs[0], views, len(jobs))
@@ -224,11 +230,11 @@
     async def _reserve(
         self,
         jobs: list[Job],
-        how: _How,
+        options: _ReservationOptions,
         targets: Iterable[Target],
         quotes: dict[str, Quote],
     ) -> tuple[Placed, ...] | Refused | None:
-        """Reserve on the best of the targets; None if an owner was lost."""
+        """Reserve on the targets with the best quotes; None if an owner was lost."""
         by_name = {t.name: t for t in targets}
         accepted = [by_name[name] for name in order_by_cost(quotes)]
         if len(accepted) < len(jobs):
@@ -236,58 +242,62 @@
         try:
             if len(jobs) > 1:
                 names = reservation_order([t.name for t in accepted[: len(jobs)]])
-                return await self._reserve_all(jobs, how, [by_name[n] for n in names])
-            return await self._reserve_first(jobs[0], how, accepted)
+                return await self._reserve_all(jobs, options, [by_name[n] for n in names])
+            return await self._reserve_first(jobs[0], options, accepted)
         except PeerLostError as exc:
             _log.warning(
-                "owner lost while waiting",
+                "owner lost during reservation",
                 extra={"session_id": jobs[0].job_id, "reason": str(exc)},
             )
             return None
 
     async def _reserve_first(
-        self, job: Job, how: _How, targets: Iterable[Target]
+        self, job: Job, options: _ReservationOptions, targets: Iterable[Target]
     ) -> tuple[Placed, ...] | Refused | None:
-        """Reserve on the first target that grants."""
+        """Reserve on the first target that grants the request."""
         refusals = []
         for target in targets:
-            answer = await self._reserve_one(job, how, target)
+            answer = await self._reserve_one(job, options, target)
             if isinstance(answer, Placed):
                 return (answer,)
             refusals.append(answer)
         return min(refusals, key=lambda r: r.retry_after_s, default=None)
 
     async def _reserve_all(
-        self, jobs: list[Job], how: _How, targets: list[Target]
+        self, jobs: list[Job], options: _ReservationOptions, targets: list[Target]
     ) -> tuple[Placed, ...] | Refused:
-        """Reserve on every target, in this order, or on none."""
+        """Reserve on all targets, in this order, or on none."""
         parts: list[Placed] = []
-        whole = False
+        complete = False
         try:
             for job, target in zip(jobs, targets, strict=True):
-                answer = await self._reserve_one(job, how, target)
+                answer = await self._reserve_one(job, options, target)
                 if isinstance(answer, Refused):
                     return answer
                 parts.append(answer)
-            whole = True
+            complete = True
             return tuple(parts)
         finally:
-            if not whole:
+            if not complete:
                 for part in parts:
                     self.release(part)
 
-    async def _reserve_one(self, job: Job, how: _How, target: Target) -> Placed | Refused:
-        owner, answer = await self._gateway.reserve(target, job, how.policy, how.traceparent)
+    async def _reserve_one(
+        self, job: Job, options: _ReservationOptions, target: Target
+    ) -> Placed | Refused:
+        owner, answer = await self._gateway.reserve(
+            target, job, options.policy, options.traceparent
+        )
         if isinstance(answer, Refused):
             return answer
-        return self._hold(Placed(job, how.policy, target, owner, answer.priority))
+        return self._hold(Placed(job, options.policy, target, owner, answer.priority))
 
-    def _hold(self, placed: Placed) -> Placed:
-        self._held[placed.job.job_id] = placed
-        self._told[placed.job.job_id] = placed.owner.name
-        return placed
+    def _hold(self, reservation: Placed) -> Placed:
+        self._held[reservation.job.job_id] = reservation
+        self._informed_owners[reservation.job.job_id] = reservation.owner.name
+        return reservation
 
-    def _known_policy(self, name: str) -> str:
+    def _policy_or_default(self, name: str) -> str:
         try:
             return policy(name).name
         except UnknownPolicyError:
--- a/gladedrum/entry/requests.py
+++ b/gladedrum/entry/requests.py
@@ -1,6 +1,6 @@
-"""A caller's request, read from HTTP headers and a JSON body and checked.
+"""Parsing and validation of completion requests from HTTP headers and a JSON body.
 
-All findings are collected with their place and reported together.
+All errors of a request are collected as findings, each with its place, and reported together.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 from ..errors import Finding, GladedrumError
 
-__all__ = ["BadRequestError", "CallerRequest", "Headers", "RequestKind", "parse_completion"]
+__all__ = ["BadRequestError", "CallerRequest", "HeaderLookup", "RequestKind", "parse_completion"]
 
 ORGANISATION_HEADER = "gladedrum-organisation"
 CLASS_HEADER = "gladedrum-class"
@@ -24,12 +24,12 @@
 _MAX_NAME_LENGTH = 128
 _MAX_KEY_LENGTH = 255
 
-Headers = Callable[[str], str | None]
-"""Looks a request header up by its lower-case name."""
+HeaderLookup = Callable[[str], str | None]
+"""Returns a request header by its lower-case name."""
 
 
 class BadRequestError(GladedrumError):
-    """The request is wrong; `findings` says where and how."""
+    """The request is invalid; `findings` lists all errors and their places."""
 
     def __init__(self, findings: list[Finding]):
         self.findings = findings
@@ -37,7 +37,7 @@
 
 
 class RequestKind:
-    """The two kinds of completion, by the name of their response objects."""
+    """Kinds of completion, named by the ``object`` field of their responses."""
 
     COMPLETION = "text_completion"
     CHAT = "chat.completion"
@@ -45,29 +45,29 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A checked request for a completion.
+    """A validated completion request.
 
     Parameters
     ----------
     kind : str
         One of `RequestKind`.
     model : str
-        The model.
+        Name of the model.
     prompt : str
-        The whole prompt; a chat's messages are joined into one.
+        The whole prompt; the messages of a chat are joined into one.
     max_tokens : int
-        The most answer tokens.
+        Maximum number of answer tokens.
     stream : bool
-        True if the answer is wanted piece by piece.
+        Whether to stream the answer.
     include_usage : bool
-        True if a stream is to end with the numbers of tokens.
+        Whether the caller asked for token counts at the end of a stream.
     organisation, request_class : str
-        What the table of weights and limits goes by.
+        Row keys in the table of weights and limits.
     timeout_s : float or None
-        The time that the caller gives, in seconds.
+        Time limit set by the caller, in seconds.
     may_repeat : bool or None
-        Whether it may be sent to a target again after it may have run; None leaves it to the
-        table.
+        Whether the request may be sent again although it may have run; None applies the table's
+        value.
     idempotency_key : str
         Empty if the caller gave none.
     traceparent : str
@@ -88,15 +88,15 @@
     traceparent: str
 
 
-class _Checker:
-    """Reads fields and collects what is wrong with them."""
+class _RequestReader:
+    """Reads fields and headers, and collects a finding for each invalid one."""
 
-    def __init__(self, body: Mapping[str, Any], headers: Headers):
+    def __init__(self, body: Mapping[str, Any], headers: HeaderLookup):
         self.findings: list[Finding] = []
         self._body = body
         self._headers = headers
 
-    def finding(self, place: str, message: str) -> None:
+    def add_finding(self, place: str, message: str) -> None:
         self.findings.append(Finding(place, message))
 
     def integer(self, field: str, default: int, least: int, most: int) -> int:
@@ -104,23 +104,23 @@
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int):
-            self.finding(field, "must be an integer")
+            self.add_finding(field, "must be an integer")
             return default
         if not least <= value <= most:
-            self.finding(field, f"must be from {least} to {most}, not {value}")
+            self.add_finding(field, f"must be from {least} to {most}, not {value}")
             return default
         return value
 
     def boolean(self, field: str) -> bool:
         value = self._body.get(field)
         if value is not None and not isinstance(value, bool):
-            self.finding(field, "must be true or false")
+            self.add_finding(field, "must be true or false")
         return value is True
 
     def text(self, field: str) -> str:
         value = self._body.get(field)
         if not isinstance(value, str) or not value:
-            self.finding(field, "must be a string that is not empty")
+            self.add_finding(field, "must be a string that is not empty")
             return ""
         return value
 
@@ -131,7 +131,7 @@
         usable = value.isprintable() and 0 < len(value) <= _MAX_NAME_LENGTH
         if not usable or any(c.isspace() or c in ":/" for c in value):
             message = f"must have 1 to {_MAX_NAME_LENGTH} characters, no space, ':' or '/'"
-            self.finding(f"header {header}", message)
+            self.add_finding(f"header {header}", message)
             return default
         return value
 
@@ -144,7 +144,7 @@
         except ValueError:
             seconds = float("nan")
         if not 0 < seconds < float("inf"):
-            self.finding(f"header {header}", "must be a number of seconds greater than 0")
+            self.add_finding(f"header {header}", "must be a number of seconds greater than 0")
             return None
         return seconds
 
@@ -153,7 +153,7 @@
         if value is None:
             return None
         if value.lower() not in ("yes", "no"):
-            self.finding(f"header {header}", "must be yes or no")
+            self.add_finding(f"header {header}", "must be yes or no")
             return None
         return value.lower() == "yes"
 
@@ -163,59 +163,61 @@
             return ""
         if not value.isprintable() or not 0 < len(value) <= _MAX_KEY_LENGTH:
             message = f"must have 1 to {_MAX_KEY_LENGTH} printable characters"
-            self.finding(f"header {header}", message)
+            self.add_finding(f"header {header}", message)
         return value
 
 
-def parse_completion(kind: str, raw: bytes, headers: Headers, organisation: str) -> CallerRequest:
-    """Check a request for a completion.
+def parse_completion(
+    kind: str, raw: bytes, headers: HeaderLookup, organisation: str
+) -> CallerRequest:
+    """Parse and validate a completion request.
 
     Parameters
     ----------
     kind : str
         One of `RequestKind`.
     raw : bytes
-        The body.
+        Body of the HTTP request.
     headers : callable
-        Looks headers up.
+        See `HeaderLookup`.
     organisation : str
-        Whoever asks, as the site has identified it.
+        The caller's organisation, as identified by the site.
 
     Raises
     ------
     BadRequestError
-        With all findings.
+        If the request is invalid; carries all findings.
     """
-    checker = _Checker(_json_object(raw), headers)
-    body = checker._body
+    reader = _RequestReader(_json_object(raw), headers)
+    body = reader._body
     is_chat = kind == RequestKind.CHAT
-    model = checker.text("model")
-    prompt = _chat_prompt(checker) if is_chat else _plain_prompt(checker)
+    model = reader.text("model")
+    prompt = _chat_prompt(reader) if is_chat else _plain_prompt(reader)
     limit_field = "max_tokens"
     if is_chat and body.get("max_completion_tokens") is not None:
         limit_field = "max_completion_tokens"
-    if checker.integer("n", 1, 1, 128) != 1:
-        checker.finding("n", "only 1 is served")
+    if reader.integer("n", 1, 1, 128) != 1:
+        reader.add_finding("n", "only 1 is served")
     options = body.get("stream_options") or {}
     if not isinstance(options, dict):
-        checker.finding("stream_options", "must be an object")
+        reader.add_finding("stream_options", "must be an object")
         options = {}
     req = CallerRequest(
         kind=kind,
         model=model,
         prompt=prompt,
-        max_tokens=checker.integer(limit_field, _DEFAULT_MAX_TOKENS, 1, _MAX_OUTPUT_TOKENS),
-        stream=checker.boolean("stream"),
+        max_tokens=reader.integer(limit_field, _DEFAULT_MAX_TOKENS, 1, _MAX_OUTPUT_TOKENS),
+        stream=reader.boolean("stream"),
         include_usage=options.get("include_usage") is True,
         organisation=organisation,
-        request_class=checker.name_header(CLASS_HEADER, DEFAULT_CLASS),
-        timeout_s=checker.seconds_header(TIMEOUT_HEADER),
-        may_repeat=checker.flag_header(MAY_REPEAT_HEADER),
-        idempotency_key=checker.key_header(IDEMPOTENCY_HEADER),
+        request_class=reader.name_header(CLASS_HEADER, DEFAULT_CLASS),
+        timeout_s=reader.seconds_header(TIMEOUT_HEADER),
+        may_repeat=reader.flag_header(MAY_REPEAT_HEADER),
+        idempotency_key=reader.key_header(IDEMPOTENCY_HEADER),
         traceparent=headers("traceparent") or "",
     )
-    if checker.findings:
-        raise BadRequestError(checker.findings)
+    if reader.findings:
+        raise BadRequestError(reader.findings)
     return req
 
 
@@ -229,46 +231,46 @@
     return body
 
 
-def _plain_prompt(checker: _Checker) -> str:
-    prompt = checker._body.get("prompt")
+def _plain_prompt(reader: _RequestReader) -> str:
+    prompt = reader._body.get("prompt")
     if isinstance(prompt, list) and len(prompt) == 1:
         prompt = prompt[0]
     if not isinstance(prompt, str) or not prompt:
-        checker.finding("prompt", "must be one string that is not empty")
+        reader.add_finding("prompt", "must be one string that is not empty")
         return ""
-    return _encodable(checker, "prompt", prompt)
+    return _encodable(reader, "prompt", prompt)
 
 
-def _chat_prompt(checker: _Checker) -> str:
-    messages = checker._body.get("messages")
+def _chat_prompt(reader: _RequestReader) -> str:
+    messages = reader._body.get("messages")
     if not isinstance(messages, list) or not messages:
-        checker.finding("messages", "must be an array that is not empty")
+        reader.add_finding("messages", "must be an array that is not empty")
         return ""
-    return "".join(_message_text(checker, n, message) for n, message in enumerate(messages))
+    return "".join(_message_text(reader, n, message) for n, message in enumerate(messages))
 
 
-def _message_text(checker: _Checker, number: int, message: Any) -> str:
+def _message_text(reader: _RequestReader, number: int, message: Any) -> str:
     place = f"messages[{number}]"
     if not isinstance(message, dict):
-        checker.finding(place, "must be an object")
+        reader.add_finding(place, "must be an object")
         return ""
     role = message.get("role")
     if not isinstance(role, str) or not role:
-        checker.finding(f"{place}.role", "must be a string that is not empty")
+        reader.add_finding(f"{place}.role", "must be a string that is not empty")
     content = message.get("content")
     if isinstance(content, list):
         parts = [p.get("text") if isinstance(p, dict) else None for p in content]
         content = "".join(parts) if all(isinstance(p, str) for p in parts) else None
     if not isinstance(content, str):
-        checker.finding(f"{place}.content", "must be a string or an array of text parts")
+        reader.add_finding(f"{place}.content", "must be a string or an array of text parts")
         return ""
-    return f"<|{role}|>\n{_encodable(checker, place, content)}\n"
+    return f"<|{role}|>\n{_encodable(reader, place, content)}\n"
 
 
-def _encodable(checker: _Checker, place: str, text: str) -> str:
+def _encodable(reader: _RequestReader, place: str, text: str) -> str:
     try:
         text.encode()
     except UnicodeEncodeError:
-        checker.finding(place, "holds a lone surrogate, which no encoding can carry")
+        reader.add_finding(place, "holds a lone surrogate, which no encoding can carry")
         return ""
     return text
--- a/gladedrum/entry/retries.py
+++ b/gladedrum/entry/retries.py
@@ -1,36 +1,36 @@
-"""A budget that keeps retries to a share of first tries."""
+"""A retry budget, which limits retries to a share of first attempts."""
 
 __all__ = ["RetryBudget"]
 
 
 class RetryBudget:
-    """Counts first tries and allows a share of them as retries.
+    """Token bucket of retries, refilled by first attempts.
 
     Parameters
     ----------
     reserve : float
-        Retries allowed at the start, and the most that can be saved up.
+        Initial and maximum balance, in retries.
 
     Examples
     --------
     >>> budget = RetryBudget(reserve=1)
-    >>> budget.take(), budget.take()
+    >>> budget.try_withdraw(), budget.try_withdraw()
     (True, False)
-    >>> budget.note_first_try(0.5); budget.note_first_try(0.5); budget.take()
+    >>> budget.note_first_attempt(0.5); budget.note_first_attempt(0.5); budget.try_withdraw()
     True
     """
 
     def __init__(self, reserve: float = 10.0):
         self._reserve = reserve
-        self._left = reserve
+        self._balance = reserve
 
-    def note_first_try(self, share: float) -> None:
-        """Count a first try, for which `share` retries are allowed."""
-        self._left = min(self._reserve, self._left + share)
+    def note_first_attempt(self, share: float) -> None:
+        """Add `share` of a retry to the balance, for one first attempt."""
+        self._balance = min(self._reserve, self._balance + share)
 
-    def take(self) -> bool:
-        """Take one retry out of the budget; False if there is none."""
-        if self._left < 1:
+    def try_withdraw(self) -> bool:
+        """Withdraw one retry; return False if the balance is too low."""
+        if self._balance < 1:
             return False
-        self._left -= 1
+        self._balance -= 1
         return True
--- a/gladedrum/entry/services.py
+++ b/gladedrum/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services, passed on to one of the targets that provide the service."""
+"""Forwarding of calls to plain services."""
 
 import logging
 import random
@@ -18,32 +18,32 @@
 
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 _RETRY_AFTER_S = 2.0
-_NO_LENGTH = "service"
+_LENGTH_LABEL = "service"
 
 _log = logging.getLogger(__name__)
 
 
 class ServiceCall(NamedTuple):
-    """A call of a plain service.
+    """A call to a plain service.
 
     Parameters
     ----------
     request_id : str
-        The id that the caller is told.
+        Request id that is returned to the caller.
     service : str
-        The service's name.
+        Name of the service.
     method, path, query : str
-        As in HTTP; the path is the one below the service's name.
+        HTTP method, path relative to the service, and query string.
     content_type : str
-        The type of the body.
+        Content type of the body.
     body : bytes
-        Passed on as it is.
+        Body, forwarded unchanged.
     timeout_s : float
-        The time that the call has, in seconds.
+        Timeout of each attempt, in seconds.
     may_repeat : bool
-        Whether it may be sent again after it may have run.
+        Whether the call may be sent again although it may have run.
     traceparent : str
-        The caller's trace; empty for none.
+        The caller's W3C trace context; empty for none.
     """
 
     request_id: str
@@ -59,18 +59,18 @@
 
 
 class ServiceRouter:
-    """Chooses a target for each call: the one with the fewest calls of this box.
+    """Sends each call to the target with the fewest calls in flight from this box.
 
     Parameters
     ----------
     membership : Membership
-        Knows the targets.
+        The known targets.
     client : ServiceClient
-        Makes the calls.
+        Client for the calls.
     metrics : Metrics
-        Counts outcomes.
+        Counter of outcomes.
     traces : Traces
-        Gives spans.
+        Source of trace spans.
     """
 
     def __init__(
@@ -80,14 +80,14 @@
         self._client = client
         self._metrics = metrics
         self._traces = traces
-        self._under_way: Counter[str] = Counter()
+        self._in_flight: Counter[str] = Counter()
 
     def knows(self, service: str) -> bool:
         """Return True if any target provides the service."""
         return bool(self._membership.directory.services(service))
 
     async def call(self, call: ServiceCall) -> ServiceReply | Outcome:
-        """Make a call; returns the service's answer, or an outcome if there is none."""
+        """Make a call; return the service's reply, or an outcome if there is no reply."""
         parent = context_from_header(call.traceparent)
         log = request_logger(_log, call.request_id)
         with self._traces.tracer.start_as_current_span("service", context=parent) as span:
@@ -96,18 +96,18 @@
                 "gladedrum-request-id": call.request_id,
                 "traceparent": header_of_span(span),
             }
-            answer = await self._try_targets(call, headers)
+            answer = await self._call_targets(call, headers)
         name = "completed" if isinstance(answer, ServiceReply) else outcome_name(answer)
-        self._metrics.outcomes.labels(name, _NO_LENGTH).inc()
+        self._metrics.outcomes.labels(name, _LENGTH_LABEL).inc()
         log.info("service call ended", extra={"outcome": name, "service": call.service})
         return answer
 
-    async def _try_targets(
+    async def _call_targets(
         self, call: ServiceCall, headers: dict[str, str]
     ) -> ServiceReply | Outcome:
         answer: ServiceReply | Outcome = NotRun("no target provides the service", _RETRY_AFTER_S)
-        for target in self._in_order(call.service):
-            self._under_way[target.name] += 1
+        for target in self._least_loaded_first(call.service):
+            self._in_flight[target.name] += 1
             try:
                 return await self._client.call(
                     call.method, _url(target, call), headers, call.body, call.timeout_s
@@ -119,13 +119,13 @@
                 if not call.may_repeat and call.method not in _SAFE_METHODS:
                     return answer
             finally:
-                self._under_way[target.name] -= 1
+                self._in_flight[target.name] -= 1
         return answer
 
-    def _in_order(self, service: str) -> list[Target]:
+    def _least_loaded_first(self, service: str) -> list[Target]:
         targets = self._membership.directory.services(service)
         random.shuffle(targets)
-        return sorted(targets, key=lambda t: self._under_way[t.name])
+        return sorted(targets, key=lambda t: self._in_flight[t.name])
 
 
 def _url(target: Target, call: ServiceCall) -> str:
@@ -134,5 +134,5 @@
 
 
 def no_such_service(service: str) -> Failed:
-    """Return the outcome of a call of a service that nobody provides."""
+    """Return the outcome of a call to a service that no target provides."""
     return Failed(f"there is no service {service!r}", HTTPStatus.NOT_FOUND)
