--- a/gladedrum/peers/__init__.py
+++ b/gladedrum/peers/__init__.py
@@ -1,4 +1,7 @@
-"""Calls between boxes: the thrift interface, who is alive, and who owns which target."""
+"""Calls between boxes: the Thrift interface, liveness of boxes, and ownership of targets.
+
+The owner of a target is the box that keeps its queue.
+"""
 
 from .link import *
 from .link import __all__ as _link_all
--- a/gladedrum/peers/link.py
+++ b/gladedrum/peers/link.py
@@ -1,7 +1,8 @@
-"""A connection to one other box, and calls over it.
+"""Connections to other boxes, calls over them, and heartbeats that detect lost peers.
 
-While a call waits for its answer the link sends heartbeats. A peer that answers none, because
-it is dead, frozen or cut off, is suspected, and all calls that wait for it fail at once.
+Heartbeats are sent while a call is pending or the peer is suspected. If a heartbeat is not
+answered in time, because the peer has died, is frozen or cannot be reached, the peer becomes
+suspected and all calls pending on its connection fail at once.
 """
 
 from collections.abc import Callable
@@ -35,30 +36,31 @@
 
 
 class PeerLostError(GladedrumError):
-    """The other box gave no answer."""
+    """The other box did not answer."""
 
 
 class PeerLink:
-    """The connection to one box, made when it is first needed.
+    """The connection to one other box, opened on first use.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where the connection and the timers live.
-    me : str
+        Runs the connection and the timers.
+    own_name : str
         The name of this box.
     box : Box
-        The other one.
+        The other box.
     cfg : Settings
-        Read for the heartbeat settings.
+        Read for the heartbeat timeout.
     on_lost, on_answer : callable
-        Called with the other box's name when it gives no answer, and when it gives one.
+        Called with the other box's name: `on_lost` when a call or heartbeat fails, `on_answer`
+        when a heartbeat is answered.
     """
 
     def __init__(
         self,
         reactor: IReactorTime,
-        me: str,
+        own_name: str,
         box: Box,
         cfg: Settings,
         on_lost: Callable[[str], None],
@@ -66,19 +68,19 @@
     ):
         self.box = box
         self._reactor = reactor
-        self._me = me
+        self._own_name = own_name
         self._timeout_s = cfg.get(HEARTBEAT_TIMEOUT)
         self._on_lost = on_lost
         self._on_answer = on_answer
         self._protocol: ThriftClientProtocol | None = None
         self._connecting: defer.Deferred[ThriftClientProtocol] | None = None
-        self._waiting = 0
-        self._asking = False
+        self._pending_calls = 0
+        self._heartbeat_pending = False
 
     @property
-    def waits(self) -> bool:
-        """True while an answer is awaited."""
-        return self._waiting > 0
+    def has_pending_calls(self) -> bool:
+        """True while a call has not been answered."""
+        return self._pending_calls > 0
 
     async def call(self, name: str, *args: Any, timeout_s: float | None = None) -> Any:
         """Call a method of the other box and return its answer.
@@ -86,18 +88,19 @@
         Parameters
         ----------
         name : str
-            The method of the thrift interface.
+            The method of the Thrift interface.
         *args
             Its arguments.
         timeout_s : float, optional
-            How long the answer may take; without it the heartbeats alone decide.
+            Maximum wait for the answer, in seconds. Without it, the call fails only when the
+            connection is lost or a heartbeat is not answered.
 
         Raises
         ------
         PeerLostError
-            If no answer came.
+            If no answer arrived.
         """
-        self._waiting += 1
+        self._pending_calls += 1
         try:
             client = await with_timeout(self._reactor, self._timeout_s, self._client())
             answer = getattr(client, name)(*args)
@@ -110,10 +113,10 @@
             self._on_lost(self.box.name)
             raise PeerLostError(f"{self.box.name}: {name}: {exc!r}") from exc
         finally:
-            self._waiting -= 1
+            self._pending_calls -= 1
 
     def send(self, name: str, *args: Any) -> None:
-        """Call a one-way method; nobody learns whether it arrived."""
+        """Call a one-way method, without confirmation that it arrived."""
         if self._protocol is not None and self._protocol.client is not None:
             getattr(self._protocol.client, name)(*args)
             return
@@ -122,23 +125,23 @@
         connecting.addErrback(lambda _failure: self._on_lost(self.box.name))
 
     async def heartbeat(self) -> None:
-        """Ask for a sign; cut the connection if none comes in time."""
-        if self._asking:
+        """Send a heartbeat, and close the connection if it is not answered in time."""
+        if self._heartbeat_pending:
             return
-        self._asking = True
+        self._heartbeat_pending = True
         try:
             client = await with_timeout(self._reactor, self._timeout_s, self._client())
-            await with_timeout(self._reactor, self._timeout_s, client.heartbeat(self._me))
+            await with_timeout(self._reactor, self._timeout_s, client.heartbeat(self._own_name))
             self._on_answer(self.box.name)
         except Exception:
-            # Whatever the reason, the peer cannot be relied on.
+            # Any failure makes the peer suspected, whatever its cause.
             self._on_lost(self.box.name)
             self.close()
         finally:
-            self._asking = False
+            self._heartbeat_pending = False
 
     def close(self) -> None:
-        """Cut the connection; all calls that wait for an answer fail."""
+        """Abort the connection; all pending calls fail."""
         protocol, self._protocol = self._protocol, None
         if protocol is not None and protocol.transport is not None:
             protocol.transport.abortConnection()
@@ -153,11 +156,11 @@
             )
             protocol = ThriftClientProtocol(Peer.Client, _PROTOCOL)
             self._connecting = endpoints.connectProtocol(endpoint, protocol)
-            self._connecting.addCallbacks(self._connected, self._not_connected)
+            self._connecting.addCallbacks(self._connected, self._connection_failed)
             self._connecting.addErrback(lambda _failure: None)
             self._waiters: list[defer.Deferred[Any]] = []
         if self._connecting is None:
-            # The connection was made, or failed, at once.
+            # The connection attempt finished synchronously.
             return self._client() if self._protocol else defer.fail(PeerLostError(self.box.name))
         self._waiters.append(waiter)
         return waiter
@@ -169,7 +172,7 @@
             if not waiter.called:
                 waiter.callback(protocol.client)
 
-    def _not_connected(self, failure) -> None:
+    def _connection_failed(self, failure) -> None:
         self._connecting = None
         for waiter in self._waiters:
             if not waiter.called:
@@ -182,11 +185,11 @@
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where connections and timers live.
+        Runs the connections and timers.
     cfg : Settings
         Read for the heartbeat settings.
     membership : Membership
-        Told who answers and who does not.
+        Notified of boxes that answer and of boxes that do not.
     """
 
     def __init__(self, reactor: IReactorTime, cfg: Settings, membership: Membership):
@@ -196,7 +199,7 @@
         self._links: dict[str, PeerLink] = {}
 
     def link(self, box: Box) -> PeerLink:
-        """Return the link to a box, a new one if the box has moved."""
+        """Return the link to a box; a new one if the box's address has changed."""
         link = self._links.get(box.name)
         if link is None or (link.box.host, link.box.peer_port) != (box.host, box.peer_port):
             if link is not None:
@@ -213,23 +216,26 @@
         return link
 
     async def run(self) -> None:
-        """Send heartbeats where they are needed, until cancelled."""
+        """Send heartbeats to suspected peers and to peers with pending calls, until cancelled."""
         try:
-            await repeat(self._reactor, self._cfg.get(HEARTBEAT_INTERVAL), self._beat)
+            await repeat(self._reactor, self._cfg.get(HEARTBEAT_INTERVAL), self._send_heartbeats)
         finally:
             for link in self._links.values():
                 link.close()
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         listed = {b.name for b in self._membership.directory.boxes}
-        # A call under way goes on: heartbeats end it if the box is gone, and not only its row.
-        gone = [n for n, link in self._links.items() if n not in listed and not link.waits]
-        for name in gone:
+        # A box that has left the list may still be running, so a pending call to it continues;
+        # heartbeats end the call if the box itself is gone.
+        unlisted = [
+            n for n, link in self._links.items() if n not in listed and not link.has_pending_calls
+        ]
+        for name in unlisted:
             self._links.pop(name).close()
         for name in self._membership.suspected:
             box = self._membership.box(name)
             if box is not None:
                 self.link(box)
         for name, link in self._links.items():
-            if link.waits or name in self._membership.suspected:
+            if link.has_pending_calls or name in self._membership.suspected:
                 defer.ensureDeferred(link.heartbeat())
--- a/gladedrum/peers/membership.py
+++ b/gladedrum/peers/membership.py
@@ -1,8 +1,8 @@
 """Which boxes are alive, and which box owns which target.
 
-The platform's list lags. A box corrects it by its own evidence: a peer that did not answer
-is suspected until it answers a heartbeat again. Two boxes may therefore disagree for a while
-on who owns a target; that costs efficiency and breaks no promise.
+The platform's list lags behind reality, so a box corrects it by its own observations: a peer
+that did not answer is suspected until it answers a heartbeat again. Two boxes may therefore
+disagree for a while on who owns a target. This costs efficiency but violates no guarantee.
 """
 
 from collections.abc import Callable, Iterable
@@ -17,29 +17,34 @@
 PEER_HOST = Item("peers", "host", "127.0.0.1", "The IP number on which other boxes reach this one.")
 PEER_PORT = Item("peers", "port", 7070, "The TCP port for other boxes.", minimum=0, maximum=65_535)
 
-_LEAVING_NOTE_S = 30.0
+_LEAVING_MARK_TTL_S = 30.0
+"""How long a box that said it is leaving is left out, in seconds; it may restart by then."""
 
-_UNLISTED_KEPT = 1_000
-"""How many boxes that have left the list are remembered: more than a large fleet has."""
+_MAX_UNLISTED_BOXES = 1_000
+"""How many boxes that have left the list are remembered; more than a large fleet has."""
 
 
 def own_box(cfg: Settings, port: int) -> Box:
-    """Return this process's own row; `port` is the port that it really listens on."""
+    """Return this box's own entry; `port` is the port that it actually listens on."""
     return Box(cfg.get(BOX_NAME), cfg.get(PEER_HOST), port, cfg.get(DATA_HALL))
 
 
 class Membership:
-    """The boxes as this box believes them to be.
+    """This box's view of which boxes are alive and which targets they own.
 
     Parameters
     ----------
     me : Box
-        This box; always alive in its own eyes until it leaves.
+        This box; it counts as alive until it leaves.
     elapsed : callable
-        The process's clock, in seconds.
+        Returns the time of a monotonic clock, in seconds.
 
     Attributes
     ----------
+    directory : Directory
+        The newest list from the platform.
+    directory_read : bool
+        Whether a list has been read since the start.
     on_change : callable
         Called whenever owners may have changed.
     """
@@ -57,37 +62,38 @@
         self._live: tuple[dict[str, Box], dict[str, list[str]]] | None = None
 
     def update(self, directory: Directory) -> None:
-        """Take over a newer list from the platform."""
+        """Replace the directory by a newer list from the platform."""
         listed = {box.name for box in directory.boxes}
         self._suspected &= listed
         self.directory_read = True
         if directory != self.directory:
             seen = {**self._unlisted, **{box.name: box for box in self.directory.boxes}}
             unlisted = [(name, box) for name, box in seen.items() if name not in listed]
-            self._unlisted = dict(unlisted[-_UNLISTED_KEPT:])
+            self._unlisted = dict(unlisted[-_MAX_UNLISTED_BOXES:])
             self.directory = directory
             self._owners_changed()
 
     def suspect(self, box: str) -> None:
-        """Note that a box did not answer."""
+        """Mark a box as suspected, since it did not answer."""
         if box not in self._suspected and box != self.me.name:
             self._suspected.add(box)
             self._owners_changed()
 
     def trust(self, box: str) -> None:
-        """Note that a box has answered."""
+        """Clear the suspicion of a box, since it has answered."""
         if box in self._suspected:
             self._suspected.discard(box)
             self._owners_changed()
 
     def note_leaving(self, box: str) -> None:
-        """Note that a box said it takes no new work.
+        """Mark a box as leaving: it accepts no new requests and owns no targets.
 
-        The note lapses, since the box may come back under its name. This box's own does not: what
-        it still answers may take minutes, and it must renew that with the owners that others see.
+        The mark expires, since the box may restart under the same name. This box's own mark does
+        not expire: its running requests may take minutes, and it must renew their reservations
+        with the owners that the other boxes see.
         """
         is_new = box not in self._leaving_until_s
-        until_s = self._elapsed() + _LEAVING_NOTE_S
+        until_s = self._elapsed() + _LEAVING_MARK_TTL_S
         self._leaving_until_s[box] = float("inf") if box == self.me.name else until_s
         if is_new:
             self._owners_changed()
@@ -102,12 +108,12 @@
             self._live = (live, by_hall)
         return self._live
 
-    def _forget_old_notes(self) -> None:
+    def _expire_leaving_marks(self) -> None:
         now_s = self._elapsed()
-        old = [name for name, until_s in self._leaving_until_s.items() if until_s <= now_s]
-        for name in old:
+        expired = [name for name, until_s in self._leaving_until_s.items() if until_s <= now_s]
+        for name in expired:
             del self._leaving_until_s[name]
-        if old:
+        if expired:
             self._owners_changed()
 
     def _owners_changed(self) -> None:
@@ -117,21 +123,21 @@
 
     @property
     def suspected(self) -> frozenset[str]:
-        """The boxes that did not answer lately."""
+        """The names of the boxes that are suspected now."""
         return frozenset(self._suspected)
 
     def box(self, name: str) -> Box | None:
-        """Return the row of a listed box."""
+        """Return the entry of a listed box, or None."""
         if name == self.me.name:
             return self.me
         return next((b for b in self.directory.boxes if b.name == name), None)
 
     def last_row(self, name: str) -> Box | None:
-        """Return the row of a box, or the last one of a box that has left the list."""
+        """Return the entry of a box; for a box that has left the list, its last entry."""
         return self.box(name) or self._unlisted.get(name)
 
     def live_boxes(self) -> list[Box]:
-        """Return the boxes that can own targets, this one included unless it leaves."""
+        """Return the boxes that can own targets, including this one unless it is leaving."""
         others = (b for b in self.directory.boxes if b.name != self.me.name)
         everyone: Iterable[Box] = (self.me, *others)
         return [
@@ -143,13 +149,13 @@
         ]
 
     def owner_of(self, target: Target) -> Box:
-        """Return the box that owns a target: one of its data hall, if any is alive there."""
-        self._forget_old_notes()
+        """Return the box that owns a target, preferably one in the target's data hall."""
+        self._expire_leaving_marks()
         owner = self._owners.get(target.name)
         if owner is None:
             live, by_hall = self._live_by_hall()
-            near = by_hall.get(target.data_hall) or live
-            name = max(near, key=lambda box: rendezvous_score(target.name, box), default=None)
+            candidates = by_hall.get(target.data_hall) or live
+            name = max(candidates, key=lambda box: rendezvous_score(target.name, box), default=None)
             owner = live.get(name, self.me)
             self._owners[target.name] = owner
         return owner
--- a/gladedrum/peers/ownership.py
+++ b/gladedrum/peers/ownership.py
@@ -1,4 +1,4 @@
-"""Asking the owner of a target, be it this box or another."""
+"""Calls to the owner of a target, which may be this box or another one."""
 
 import itertools
 import logging
@@ -20,7 +20,7 @@
 __all__ = ["QUOTE_TIMEOUT_S", "OwnerGateway"]
 
 QUOTE_TIMEOUT_S = 0.5
-"""How long an owner may take to answer with its expectations, in seconds."""
+"""Maximum time for the answer to a `quote` or `live_sessions` call, in seconds."""
 
 _log = logging.getLogger(__name__)
 
@@ -31,11 +31,11 @@
     Parameters
     ----------
     membership : Membership
-        Says who owns what.
+        Knows the owner of each target.
     peers : Peers
         Links to other boxes.
     owners : OwnerCalls
-        This box's own owners.
+        The owners on this box, called directly.
     metrics : Metrics
         Counts calls.
     """
@@ -60,23 +60,23 @@
     async def reserve(
         self, target: Target, job: Job, policy: str, traceparent: str
     ) -> tuple[Box, Grant | Refused]:
-        """Wait for a reservation; returns the owner that answered and what it said.
+        """Wait for a reservation; return the owner that answered, and its answer.
 
         Parameters
         ----------
         target : Target
-            Where.
+            Where to reserve.
         job : Job
             The request, or a segment of it.
         policy : str
-            The policy that decides.
+            The scheduling policy.
         traceparent : str
             The trace that the owner's span belongs to; empty for none.
 
         Raises
         ------
         PeerLostError
-            If the owner was lost while the request waited.
+            If the owner was lost, or started to stop, while the request waited.
         """
         owner = self._membership.owner_of(target)
         if owner.name == self._membership.me.name:
@@ -98,21 +98,21 @@
             self._metrics.peer_calls.labels("reserve", "lost").inc()
             raise
         except defer.CancelledError:
-            # Else the request would be granted later, and hold memory that nobody uses.
+            # Otherwise the owner could still grant the request and reserve memory for nothing.
             self.release(owner, target, job.job_id)
             raise
         self._metrics.peer_calls.labels("reserve", "answered").inc()
         return reserve_from_record(answer, job)
 
     def first_token(self, owner: Box, target: str, job_id: str) -> None:
-        """Tell an owner that a first token has come."""
+        """Tell an owner that the first token of a request has arrived."""
         if owner.name == self._membership.me.name:
             self._owners.first_token(target, job_id)
         else:
             self._peers.link(owner).send("first_token", target, job_id)
 
     def release(self, owner: Box, target: Target, job_id: str) -> None:
-        """Tell the owner that granted a request, and its successor, that it has ended."""
+        """Tell the owner that granted a request, and the current owner, that it has ended."""
         for box in {owner, self._membership.owner_of(target)}:
             if box.name == self._membership.me.name:
                 self._owners.release(target.name, job_id)
@@ -120,7 +120,7 @@
                 self._peers.link(box).send("release", target.name, job_id)
 
     def hand_over(self, target: Target, jobs: Iterable[tuple[Job, str]]) -> None:
-        """Tell a target's new owner everything of this box's requests that run there."""
+        """Send a target's new owner the full records of this box's requests that run there."""
         owner = self._membership.owner_of(target)
         if owner.name == self._membership.me.name:
             for job, policy in jobs:
@@ -131,7 +131,7 @@
         self._peers.link(owner).send("renew", target.name, records)
 
     def renew(self, held: Iterable[tuple[Target, str]]) -> None:
-        """Tell the owners which requests of this box still run, one message a box."""
+        """Tell the owners which requests of this box still run, in one message per box."""
         by_owner: defaultdict[Box, list[tuple[str, str]]] = defaultdict(list)
         for target, job_id in held:
             by_owner[self._membership.owner_of(target)].append((target.name, job_id))
@@ -144,25 +144,25 @@
                 self._peers.link(owner).send("renew_known", targets, job_ids)
 
     async def live_sessions(self, box: str, session_ids: list[str]) -> list[str] | None:
-        """Return which sessions a box still awaits; None if that cannot be told.
+        """Return which of the sessions a box still waits for; None if that is unknown.
 
-        A box that the platform no longer lists is asked all the same, since it may be stopping
-        and still pass answers on; if it does not answer, it awaits none. One that is listed but
-        does not answer may be frozen or cut off, so nothing can be told.
+        A box that the platform no longer lists is asked too, since it may be stopping and still
+        be relaying answers; if it does not answer, it waits for none. A listed box that does not
+        answer may be frozen or unreachable, so its sessions are unknown.
         """
         if box == self._membership.me.name:
             return self._owners.live_sessions(session_ids)
-        silent = None
+        if_lost = None
         if self._membership.directory_read and self._membership.box(box) is None:
-            silent = []
+            if_lost = []
         row = self._membership.last_row(box)
         if row is None:
-            return silent
+            return if_lost
         try:
             link = self._peers.link(row)
             return await link.call("live_sessions", session_ids, timeout_s=QUOTE_TIMEOUT_S)
         except PeerLostError:
-            return silent
+            return if_lost
 
     async def _quotes_of(
         self, owner: Box, names: list[str], job: Job, policy: str
--- a/gladedrum/peers/records.py
+++ b/gladedrum/peers/records.py
@@ -1,6 +1,6 @@
-"""Conversion between the scheduling types and the records of the thrift interface.
+"""Conversion between the scheduling types and the records of the Thrift interface.
 
-Clocks of boxes differ, so a record carries ages and remaining times in place of moments.
+Clocks of boxes differ, so records carry ages and remaining times instead of timestamps.
 """
 
 from ..scheduling import Grant, Job, Quote, Refused
@@ -17,7 +17,7 @@
 
 
 def record_of_job(job: Job, policy: str, now_s: float) -> JobRecord:
-    """Return the record of a job that came under the named policy."""
+    """Return the record of a job that is scheduled by the named policy."""
     return JobRecord(
         job_id=job.job_id,
         organisation=job.organisation,
@@ -36,7 +36,7 @@
 
 
 def job_from_record(record: JobRecord, now_s: float) -> Job:
-    """Return the job of a record that arrived now."""
+    """Return the job of a record that was received at `now_s`."""
     return Job(
         job_id=record.job_id,
         organisation=record.organisation,
@@ -84,7 +84,7 @@
 
 
 def reserve_from_record(record: ReserveRecord, job: Job) -> Grant | Refused:
-    """Return the answer to a reservation of a record."""
+    """Return the answer to a reservation that a record holds."""
     if record.granted:
         return Grant(job, record.priority)
     return Refused(record.reason, record.retry_after_s)
--- a/gladedrum/peers/server.py
+++ b/gladedrum/peers/server.py
@@ -1,4 +1,4 @@
-"""The thrift server through which other boxes reach this one."""
+"""The Thrift server that answers calls of other boxes."""
 
 from typing import Protocol
 
@@ -19,7 +19,7 @@
 
 
 class TableCalls(Protocol):
-    """What the box's table offers to other boxes."""
+    """The part of this box's table that other boxes can call."""
 
     @property
     def table(self) -> Table:
@@ -27,29 +27,29 @@
 
     @property
     def age_s(self) -> float:
-        """The time since it was last confirmed, in seconds."""
+        """The time since the table was last confirmed, in seconds."""
 
     def message_for(self, revision: int) -> bytes:
-        """Return what a peer at `revision` lacks."""
+        """Return the message that brings a peer at `revision` up to date."""
 
 
 class OwnerCalls(Protocol):
-    """What the box's owners of targets offer to other boxes and to the box itself."""
+    """Calls to the targets' owners on this box, made by other boxes and by the box itself."""
 
     def now_s(self) -> float:
-        """Return the decision clock, in seconds."""
+        """Return the time of the decision clock, in seconds."""
 
     def quote(self, target: str, job: Job, policy: str) -> Quote:
-        """Return what is expected of a request on a target."""
+        """Return the expected time and cost of a request on a target."""
 
     def reserve(self, target: str, job: Job, policy: str) -> defer.Deferred[Grant | Refused]:
-        """Queue a request; fires when it is granted or refused."""
+        """Queue a request; the deferred fires when it is granted or refused."""
 
     def first_token(self, target: str, job_id: str) -> None:
-        """Note that a request's first token has come."""
+        """Record that a request's first token has arrived."""
 
     def release(self, target: str, job_id: str) -> None:
-        """Give back what a request holds."""
+        """Release a request's reservation."""
 
     def renew(self, target: str, job: Job, policy: str) -> None:
         """Renew a request's reservation."""
@@ -58,7 +58,7 @@
         """Renew a reservation that the owner has granted or taken over."""
 
     def live_sessions(self, session_ids: list[str]) -> list[str]:
-        """Return those of the sessions that this box still waits for."""
+        """Return the sessions that this box still waits for."""
 
 
 @implementer(Peer.Iface)
@@ -74,7 +74,7 @@
     table : TableCalls
         Its table.
     traces : Traces
-        Gives a span for each reservation.
+        Records a span for each reservation.
     """
 
     def __init__(self, name: str, owners: OwnerCalls, table: TableCalls, traces: Traces):
@@ -84,7 +84,7 @@
         self._owners = owners
 
     def quote(self, targets: list[str], job: JobRecord) -> list[QuoteRecord]:
-        """Answer with expectations for the named targets."""
+        """Answer with quotes for the named targets."""
         own = job_from_record(job, self._owners.now_s())
         return [record_of_quote(t, self._owners.quote(t, own, job.policy)) for t in targets]
 
@@ -105,21 +105,21 @@
         return waiting.addBoth(end).addCallback(record_of_reserve)
 
     def first_token(self, target: str, job_id: str) -> None:
-        """Pass on that a first token has come."""
+        """Tell this box's owner that a request's first token has arrived."""
         self._owners.first_token(target, job_id)
 
     def release(self, target: str, job_id: str) -> None:
-        """Pass on that a request has ended."""
+        """Tell this box's owner that a request has ended."""
         self._owners.release(target, job_id)
 
     def renew(self, target: str, jobs: list[JobRecord]) -> None:
-        """Pass on which requests still run."""
+        """Renew the reservations of requests that still run, from their full records."""
         now_s = self._owners.now_s()
         for job in jobs:
             self._owners.renew(target, job_from_record(job, now_s), job.policy)
 
     def renew_known(self, targets: list[str], job_ids: list[str]) -> None:
-        """Pass on which requests still run, by name."""
+        """Renew the reservations of requests that still run, by their ids."""
         for target, job_id in zip(targets, job_ids, strict=True):
             self._owners.renew_known(target, job_id)
 
@@ -128,15 +128,15 @@
         return self._name
 
     def live_sessions(self, session_ids: list[str]) -> list[str]:
-        """Answer with those of the sessions that are still awaited."""
+        """Answer with the sessions that this box still waits for."""
         return self._owners.live_sessions(session_ids)
 
     def table_since(self, revision: int) -> bytes:
-        """Answer with what a box at this revision lacks."""
+        """Answer with the message that brings a box at `revision` up to date."""
         return self._table.message_for(revision)
 
     def table_state(self) -> TableRecord:
-        """Answer with the revision in force and the age of its news."""
+        """Answer with the revision in force and the time since it was confirmed."""
         return TableRecord(self._table.table.revision, self._table.age_s)
 
 
--- a/gladedrum/peers/tests/test_stopping.py
+++ b/gladedrum/peers/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""What runs or waits at a box outlives its own stop, and its row in the platform's list."""
+"""Requests survive the stop of their box and its removal from the platform's list."""
 
 from twisted.internet import defer
 from twisted.internet.task import Clock
@@ -22,7 +22,7 @@
 
 
 class _Owners:
-    """This box's own owners: a request waits until `waiting` fires."""
+    """The owners on this box: a request waits until `waiting` fires."""
 
     def __init__(self):
         self.waiting = defer.Deferred()
@@ -38,7 +38,7 @@
 
 
 class _Links:
-    """Links to other boxes; `answers` holds what their methods answer."""
+    """Links to other boxes; `answers` holds a function for each method."""
 
     def __init__(self, **answers):
         self.answers, self.called = answers, []
@@ -66,8 +66,8 @@
 
 
 def test_a_stopping_box_never_owns_targets_again():
-    """Its own note lapsed after 30 s: it then renewed its running requests with itself, and the
-    real owners dropped them."""
+    """If its own leaving mark expired, it would renew its running requests with itself, and the
+    real owners would drop them."""
     clock = Clock()
     membership = fleet(clock)
     assert owners_of(membership) == {"me", "other"}
@@ -78,7 +78,7 @@
 
 
 def test_a_request_that_waits_at_its_own_box_is_placed_elsewhere_when_the_box_stops():
-    """Requests of other boxes were; its own were refused with the reason meant for other boxes."""
+    """Guards against refusing the box's own requests with the reason meant for other boxes."""
     membership, owners = fleet(Clock()), _Owners()
     own = tuple(engine for engine in ENGINES if membership.owner_of(engine) == ME)
     membership.update(Directory((ME, OTHER), own))
@@ -105,7 +105,7 @@
 
 
 def test_a_box_that_has_left_the_list_is_still_asked_for_its_sessions():
-    """Its begun answers were cancelled as nobody's while it still passed them on."""
+    """Guards against cancelling answers as orphaned while the box still relays them."""
     membership = fleet(Clock())
     membership.update(Directory((ME,), ENGINES))
     assert live_sessions(membership, _Links(live_sessions=lambda ids: ids)) == ["s"]
@@ -113,18 +113,18 @@
     assert live_sessions(membership, _Links(), "never heard of") == []
 
 
-def test_a_listed_box_that_does_not_answer_may_still_await_its_sessions():
+def test_the_sessions_of_a_listed_box_that_does_not_answer_are_unknown():
     assert live_sessions(fleet(Clock()), _Links(live_sessions=lost)) is None
 
 
-def test_a_link_is_not_cut_under_a_call_when_its_box_leaves_the_list():
+def test_a_link_with_a_pending_call_stays_open_when_its_box_leaves_the_list():
     membership = fleet(Clock())
     peers = Peers(Clock(), parse_settings(""), membership)
     closed = []
-    for name, waiting in (("other", 1), ("idle", 0)):
+    for name, pending_calls in (("other", 1), ("idle", 0)):
         link = peers.link(Box(name, "127.0.0.1", 2))
-        link._waiting, link.close = waiting, lambda name=name: closed.append(name)
-        link._asking = True
+        link._pending_calls, link.close = pending_calls, lambda name=name: closed.append(name)
+        link._heartbeat_pending = True
     membership.update(Directory((ME,), ENGINES))
-    peers._beat()
+    peers._send_heartbeats()
     assert closed == ["idle"]
