--- a/gladedrum/gossip/__init__.py
+++ b/gladedrum/gossip/__init__.py
@@ -1,7 +1,8 @@
-"""Datagrams between boxes: what they say (`work.thrift`, `wire` is made from it) and their port.
+"""Datagrams between boxes: their format and the UDP port that sends and receives them.
 
-Takes bytes from the network and gives messages to whoever the box names. Knows no belief and no
-policy: imports nothing of the product.
+The format is declared in `work.thrift`, from which `wire` is generated. This package only encodes,
+decodes and delivers messages; it holds no state of targets, makes no decisions and imports no
+other package of gladedrum.
 """
 
 from .port import *
--- a/gladedrum/gossip/port.py
+++ b/gladedrum/gossip/port.py
@@ -1,7 +1,8 @@
-"""Datagrams in which boxes tell each other of the work and the state of targets.
+"""Datagrams by which boxes inform each other of the work and the state of targets.
 
-They are hints for placement: a lost, late or doubled one does no harm. Each is a thrift struct
-in the compact protocol.
+They are hints for placement, so a lost, late or duplicated datagram does no harm. Each datagram
+is a Thrift `Gossip` struct in the compact protocol; its lists hold notes (statements), asks
+(questions) and grants or other answers to these.
 """
 
 import logging
@@ -38,20 +39,20 @@
 __all__ += ["GossipPort", "decode", "encode", "is_farewell"]
 
 PLACED, FIRST_EVENT, ENDED, FAILED, WITHDRAWN, OVERDUE = 1, 2, 3, 4, 5, 6
-"""The changes that a `WorkNote` tells; work is withdrawn if that says nothing about its target, and
-overdue if it has not been answered within its objective and is still under way."""
+"""The changes of state that a `WorkNote` reports. `WITHDRAWN` ends work without evidence for or
+against its target. `OVERDUE` work still runs but has missed the objective for its answer."""
 
-GATHER_S = 0.004
-"""How long notes other than of a placement are gathered into one datagram, in seconds."""
+BATCH_DELAY_S = 0.004
+"""How long notes other than of a placement are collected into one datagram, in seconds."""
 
-LOSSES_A_DATAGRAM = 12
-"""Losses in one datagram, of some 80 bytes each: it passes any link in one piece."""
+LOSSES_PER_DATAGRAM = 12
+"""At some 80 bytes each, they fit into one IP packet on any link, without fragmentation."""
 
 _UNREADABLE = (
     TException, EOFError, ValueError, LookupError, TypeError, AssertionError, struct.error,
     OverflowError, RecursionError,
 )  # fmt: skip
-"""What the thrift library raises on bytes that are no struct of ours."""
+"""The exceptions that the Thrift library raises on bytes that are not a valid `Gossip`."""
 
 _log = logging.getLogger(__name__)
 
@@ -64,42 +65,42 @@
 
 
 def decode(data: bytes) -> Gossip | None:
-    """Return what a datagram says, None if it is none of ours."""
+    """Return the message of a datagram, or None if it cannot be decoded."""
     gossip = Gossip()
     try:
         gossip.read(TCompactProtocol(TMemoryBuffer(data)))
     except _UNREADABLE as exc:
-        _log.warning("datagram not understood", extra={"reason": repr(exc)})
+        _log.warning("datagram cannot be decoded", extra={"reason": repr(exc)})
         return None
     return gossip
 
 
 def is_farewell(told: Gossip) -> bool:
-    """Whether the sender ends now, and says nothing more.
+    """Whether the sender shuts down now and this is its last message.
 
-    Boxes of earlier versions say that they are leaving seconds before, always beside lists of
-    notes, which may be empty.
+    Boxes of earlier versions announce that they are leaving seconds before they shut down, always
+    in messages that have lists of notes, which may be empty.
     """
     return bool(told.leaving) and told.work is None and told.reports is None
 
 
 class GossipPort(protocol.DatagramProtocol):
-    """Sends notes to all peers and takes theirs.
+    """Sends messages to other boxes, and receives theirs.
 
     Parameters
     ----------
     box : str
         This box's name.
     clock : IReactorTime
-        For gathering.
+        Times the batches of notes.
     peers : callable
-        Returns the addresses of the boxes that hear of all work.
-    greeted : callable
-        Returns the addresses of the boxes that this one makes itself known to.
-    take : callable
-        Takes a `Gossip` of another box, and its address.
+        Returns the addresses of the boxes that receive notes of all work.
+    all_boxes : callable
+        Returns the addresses of all listed boxes; this box announces itself to them.
+    receive : callable
+        Called with each `Gossip` of another box, and its address.
     capacity : float
-        The cores that this box may use.
+        The number of cores that this box may use.
     """
 
     def __init__(
@@ -107,23 +108,27 @@
         box: str,
         clock: IReactorTime,
         peers: Callable[[], Iterable[tuple[str, int]]],
-        greeted: Callable[[], Iterable[tuple[str, int]]],
-        take: Callable[[Gossip, tuple[str, int]], None],
+        all_boxes: Callable[[], Iterable[tuple[str, int]]],
+        receive: Callable[[Gossip, tuple[str, int]], None],
         capacity: float = 0.0,
     ):
         self._box = box
         self._clock = clock
         self._peers = peers
-        self._greeted = greeted
-        self._take = take
+        self._all_boxes = all_boxes
+        self._receive = receive
         self._capacity = capacity
         self._work: list[WorkNote] = []
         self._reports: list[ReportNote] = []
-        self._ends = False
-        self._flush_due = False
+        self._shutting_down = False
+        self._flush_scheduled = False
 
     def tell_work(self, note: WorkNote) -> None:
-        """Tell of a change of work; of a placement at once, since others decide meanwhile."""
+        """Send a note of a change of work to all peers.
+
+        Placements are sent at once, since peers make their own decisions meanwhile; other changes
+        are batched.
+        """
         self._work.append(note)
         if note.change == PLACED:
             self._flush()
@@ -131,53 +136,55 @@
             self._flush_soon()
 
     def tell_report(self, note: ReportNote) -> None:
-        """Tell of a target's report."""
+        """Send a target's report to all peers, batched with other notes."""
         self._reports.append(note)
         self._flush_soon()
 
     def tell_losses(self, notes: list[LossNote], address: tuple[str, int] | None = None) -> None:
-        """Tell at once with which targets requests were lost, one box or all peers."""
-        for first in range(0, len(notes), LOSSES_A_DATAGRAM):
-            part = Gossip(self._box, losses=notes[first : first + LOSSES_A_DATAGRAM])
+        """Send which requests were lost with which targets, to one box or to all peers."""
+        for first in range(0, len(notes), LOSSES_PER_DATAGRAM):
+            part = Gossip(self._box, losses=notes[first : first + LOSSES_PER_DATAGRAM])
             for peer in self._peers() if address is None else [address]:
                 self._send(peer, part)
 
     def tell_rate(self, note: RateNote) -> None:
-        """Tell at once which rate a target names."""
+        """Send the rate limit that a target has declared to all peers."""
         for address in self._peers():
             self._send(address, Gossip(self._box, rates=[note]))
 
     def tell_leaving(self, note: LeavingNote) -> None:
-        """Tell all boxes at once that a target leaves.
+        """Tell all boxes that a target is leaving.
 
-        Also those that hear of no work: a box decides alone when nobody answers it.
+        This includes boxes that receive no notes of work, since these place requests themselves
+        when no decider answers.
         """
-        for address in {*self._peers(), *self._greeted()}:
+        for address in {*self._peers(), *self._all_boxes()}:
             self._send(address, Gossip(self._box, leaving_targets=[note]))
 
     def tell_spent(self, address: tuple[str, int], note: SpentNote) -> None:
-        """Tell the box that adds it up what was sent to a target without a place there."""
+        """Tell the box that enforces a target's rate what was sent there without a place."""
         self._send(address, Gossip(self._box, spent=[note]))
 
     def say_hello(self) -> None:
-        """Make this box known to those that keep entries.
+        """Announce this box to all listed boxes.
 
-        A box that starts hears so of those that have started since it read the list.
+        Boxes that read the list before this one was listed learn of it this way.
         """
-        if self._ends:
+        if self._shutting_down:
             return
         data = encode(Gossip(self._box, capacity=self._capacity))
-        for address in self._greeted():
+        for address in self._all_boxes():
             self._write(address, data)
 
     def say_farewell(self) -> None:
-        """Tell that this box ends now, and say nothing else from now on.
+        """Announce to all peers that this box shuts down now, and send nothing else afterwards.
 
-        Peers would ask it for placements for 6 s more, 40 ms each, and have it read reports.
+        Otherwise peers would go on asking it for placements, each waiting for the timeout, and
+        rely on it to read reports.
         """
-        if not self._ends:
+        if not self._shutting_down:
             self._flush()
-            self._ends = True
+            self._shutting_down = True
         data = encode(Gossip(self._box, leaving=True))
         for address in self._peers():
             self._write(address, data)
@@ -187,65 +194,65 @@
         self._send(address, Gossip(self._box, asks=[note]))
 
     def answer(self, address: tuple[str, int], note: ChoiceNote) -> None:
-        """Answer a box that has asked."""
+        """Answer a box that asked for a placement."""
         self._send(address, Gossip(self._box, choices=[note]))
 
     def ask_vouch(self, address: tuple[str, int], note: VouchAsk) -> None:
-        """Ask one box what it knows from the store."""
+        """Ask one box what it knows from the store and how old that is."""
         self._send(address, Gossip(self._box, vouch_asks=[note]))
 
     def vouch(self, address: tuple[str, int], note: VouchNote) -> None:
-        """Tell a box that has asked."""
+        """Answer a box that asked what this one knows from the store."""
         self._send(address, Gossip(self._box, vouches=[note]))
 
     def tell_list(self, address: tuple[str, int], part: ListPart) -> None:
-        """Tell a box that has asked a part of the list of targets."""
+        """Send a part of the list of targets to a box that asked for it."""
         self._send(address, Gossip(self._box, list_parts=[part]))
 
     def hand_on(self, address: tuple[str, int], part: ConfigurationPart) -> None:
-        """Tell a box that has asked a part of the configuration."""
+        """Send a part of the configuration to a box that asked for it."""
         self._send(address, Gossip(self._box, configuration_parts=[part]))
 
     def ask_repeat(self, address: tuple[str, int], ask: RepeatAsk) -> None:
-        """Ask one box for one of the fleet's repeats."""
+        """Ask one box for a retry from the fleet's retry budget."""
         self._send(address, Gossip(self._box, repeat_asks=[ask]))
 
     def grant_repeat(self, address: tuple[str, int], grant: RepeatGrant) -> None:
-        """Tell a box that has asked."""
+        """Answer a box that asked for a retry."""
         self._send(address, Gossip(self._box, repeat_grants=[grant]))
 
     def ask_place(self, address: tuple[str, int], ask: PlaceAsk) -> None:
-        """Ask one box for a place at a target that names a rate."""
+        """Ask one box for a place at a target that has declared a rate limit."""
         self._send(address, Gossip(self._box, place_asks=[ask]))
 
     def grant_place(self, address: tuple[str, int], grant: PlaceGrant) -> None:
-        """Tell a box that has asked."""
+        """Answer a box that asked for a place."""
         self._send(address, Gossip(self._box, place_grants=[grant]))
 
     def datagramReceived(self, data: bytes, addr) -> None:
-        """Take a datagram of another box."""
+        """Decode a datagram and pass it on, unless it is this box's own."""
         gossip = decode(data)
         if gossip is not None and gossip.box != self._box:
-            self._take(gossip, addr)
+            self._receive(gossip, addr)
 
     def _flush_soon(self) -> None:
-        if not self._flush_due:
-            self._flush_due = True
-            self._clock.callLater(GATHER_S, self._flush)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            self._clock.callLater(BATCH_DELAY_S, self._flush)
 
     def _flush(self) -> None:
-        self._flush_due = False
+        self._flush_scheduled = False
         if not self._work and not self._reports:
             return
         data = encode(Gossip(self._box, self._work, self._reports))
         self._work, self._reports = [], []
-        if self._ends:
+        if self._shutting_down:
             return
         for address in self._peers():
             self._write(address, data)
 
     def _send(self, address: tuple[str, int], gossip: Gossip) -> None:
-        if not self._ends:
+        if not self._shutting_down:
             self._write(address, encode(gossip))
 
     def _write(self, address: tuple[str, int], data: bytes) -> None:
@@ -254,4 +261,4 @@
         try:
             self.transport.write(data, address)
         except OSError as exc:
-            _log.warning("peer not told", extra={"peer": address[0], "reason": str(exc)})
+            _log.warning("datagram not sent", extra={"peer": address[0], "reason": str(exc)})
