--- a/gladedrum/table/__init__.py
+++ b/gladedrum/table/__init__.py
@@ -1,4 +1,9 @@
-"""The table of weights and limits: knobs, rows, revisions, edits, and how boxes get it."""
+"""The table of weights and limits.
+
+Operators change the table by edits, which are stored in the key-value service. Its rows are
+organisations and classes of requests, its columns are knobs, and every accepted edit makes a new
+revision. `TableFollower` and `TableSpread` bring new revisions into force on each box.
+"""
 
 from .core import *
 from .core import __all__ as _core_all
--- a/gladedrum/table/core.py
+++ b/gladedrum/table/core.py
@@ -1,8 +1,8 @@
-"""The table at one revision.
+"""The table at one revision, and the values that apply to a request.
 
-A row is named ``default``, ``organisation:NAME`` or ``class:NAME``. For each knob, the cell of
-the organisation's row counts first, then that of the request class, then that of the default
-row, then the knob's own default.
+A row is named ``default``, ``organisation:NAME`` or ``class:NAME``. The value of a knob is taken
+from the first of these that sets it: the organisation's row, the request class's row, the default
+row, the knob's own default.
 
 Examples
 --------
@@ -20,11 +20,11 @@
 __all__ = ["DEFAULT_ROW", "Effective", "Table", "row_names"]
 
 DEFAULT_ROW = "default"
-"""The row that counts where no other does."""
+"""The row that applies to all requests, with the lowest precedence."""
 
 
 def row_names(organisation: str, request_class: str) -> tuple[str, str, str]:
-    """Return the rows that count for a request, the strongest first."""
+    """Return the names of the rows that apply to a request, highest precedence first."""
     return (f"organisation:{organisation}", f"class:{request_class}", DEFAULT_ROW)
 
 
@@ -32,15 +32,15 @@
     """The values of all knobs for one request."""
 
     def number(self, knob: str) -> float:
-        """Return the value of a knob that is a number."""
+        """Return the value of a numeric knob."""
         return float(self[knob])
 
     def flag(self, knob: str) -> bool:
-        """Return the value of a knob that is yes or no."""
+        """Return the value of a boolean knob."""
         return bool(self[knob])
 
     def name(self, knob: str) -> str:
-        """Return the value of a knob that is a name."""
+        """Return the value of a knob that holds a name."""
         return str(self[knob])
 
 
@@ -51,12 +51,12 @@
     Parameters
     ----------
     revision : int
-        Grows by one with each accepted edit; 0 is the empty table.
+        Increases by one with each accepted edit; 0 is the empty table.
     rows : mapping of str to mapping of str to value
-        Only cells that have been set.
+        The cells that are set, by row and knob.
     era : int
-        The store's era in which it was read. The store may come back from a copy, and give a
-        revision to another edit.
+        The store's era in which the table was read. A new era begins when the store is restored
+        from a copy; revisions may then be assigned again, to other edits.
     """
 
     revision: int = 0
@@ -65,11 +65,11 @@
 
     @property
     def place(self) -> Revision:
-        """The order of tables: of two eras the later one's is the newer, whatever its revision."""
+        """The key by which tables are ordered: first by era, then by revision."""
         return Revision(self.era, self.revision)
 
     def effective(self, organisation: str, request_class: str) -> Effective:
-        """Return what counts for a request."""
+        """Return the values of all knobs for a request."""
         values = Effective({name: knob.default for name, knob in KNOBS.items()})
         for row in reversed(row_names(organisation, request_class)):
             values.update(self.rows.get(row, {}))
--- a/gladedrum/table/edits.py
+++ b/gladedrum/table/edits.py
@@ -1,8 +1,8 @@
-"""Edits of the table and the rules by which they are accepted. No I/O.
+"""Edits of the table and the rules for accepting them; without I/O.
 
-The table is kept as a head, which holds the last edits, and a snapshot of the revision before
-them. An edit names the revision that its author saw; it is refused if one of its cells has
-changed since.
+The table is stored as a head, which holds the newest edits, and a snapshot of the revision before
+them (the base). An edit names the revision that its author saw, and is rejected if one of its
+cells has been set to another value since then (optimistic concurrency control).
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
     "check_cells",
     "conflicts_of",
     "lost_edits",
-    "written_again",
+    "restoring_edits",
 ]
 
 _ROW_KINDS = ("organisation", "class")
@@ -37,9 +37,9 @@
     Parameters
     ----------
     row, knob : str
-        Its place.
+        The names of its row and column.
     value : bool, int, float, str or None
-        The new value; None empties the cell, so that a weaker row counts.
+        The new value; None clears the cell, so that a row of lower precedence applies.
     """
 
     row: str
@@ -48,20 +48,20 @@
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """A change of some cells, accepted as a whole or not at all.
+    """An atomic change of one or more cells.
 
     Parameters
     ----------
     edit_id : str
-        Unique, by which a lost answer is settled.
+        Unique. After a lost reply it shows whether the edit was applied.
     revision : int
-        The revision that it makes.
+        The revision that the edit creates.
     cells : list of Cell
-        What it changes.
+        The cells that it changes, with their new values.
     who, why : str
-        Who asked for it, and for what reason.
+        The author, and the reason given.
     at_s : float
-        When, in seconds since the epoch.
+        When the edit was made, in seconds since the epoch.
     """
 
     edit_id: str
@@ -80,12 +80,12 @@
 
 
 class Head(msgspec.Struct):
-    """The newest edits and where their base is.
+    """The newest edits, and the revision that they follow.
 
     Parameters
     ----------
     base : int
-        The revision of the snapshot that the edits go on from.
+        The revision of the snapshot to which the edits are applied.
     edits : list of Edit
         In order of revision.
     """
@@ -100,7 +100,7 @@
 
 
 class CellConflict(NamedTuple):
-    """A cell that somebody else has changed meanwhile."""
+    """A cell that another edit has changed since the author looked."""
 
     row: str
     knob: str
@@ -109,18 +109,18 @@
 
 
 def check_cells(cells: Iterable[Cell]) -> list[Finding]:
-    """Return everything that is wrong with the cells of an edit, each with its place."""
+    """Return all errors in the cells of an edit, each with its row and knob."""
     findings = []
     for cell in cells:
         place = f"{cell.row} {cell.knob}"
         kind, _, name = cell.row.partition(":")
-        named = kind in _ROW_KINDS and name and len(cell.row) <= _MAX_ROW_LENGTH
-        if cell.row != DEFAULT_ROW and not named:
+        is_named_row = kind in _ROW_KINDS and name and len(cell.row) <= _MAX_ROW_LENGTH
+        if cell.row != DEFAULT_ROW and not is_named_row:
             message = "the row must be default, organisation:NAME or class:NAME"
             findings.append(Finding(place, message))
         knob = KNOBS.get(cell.knob)
         if knob is None:
-            findings.append(Finding(place, f"there is no knob; there are {', '.join(KNOBS)}"))
+            findings.append(Finding(place, f"unknown knob; the knobs are {', '.join(KNOBS)}"))
         elif cell.value is not None:
             try:
                 knob.parse(knob.render(cell.value))
@@ -130,7 +130,7 @@
 
 
 def conflicts_of(cells: Iterable[Cell], seen_revision: int, head: Head) -> list[CellConflict]:
-    """Return the cells that were changed to something else after the author looked."""
+    """Return the cells that were set to another value after the revision that the author saw."""
     mine = {(c.row, c.knob): c.value for c in cells}
     theirs = {
         (c.row, c.knob): c.value
@@ -146,7 +146,7 @@
 
 
 def apply_edits(table: Table, edits: Iterable[Edit]) -> Table:
-    """Return the table after the edits that are newer than it."""
+    """Apply the edits that are newer than the table, and return the result."""
     rows = {row: dict(cells) for row, cells in table.rows.items()}
     revision = table.revision
     for edit in edits:
@@ -163,37 +163,40 @@
     return Table(revision, rows, table.era)
 
 
-def lost_edits(held: Iterable[Edit], head: Head) -> list[Edit]:
-    """Return the edits that were accepted and that the table has lost, in their order.
+def lost_edits(accepted: Iterable[Edit], head: Head) -> list[Edit]:
+    """Return the accepted edits that are missing from the stored table, in their order.
 
-    A store that came back from a copy lacks the last ones. Another one may be lost to a write that
-    was under way meanwhile, and held by accident.
+    A store that was restored from a copy lacks the newest edits. After a restore, a write that
+    was under way may also overwrite newer edits, since revisions are assigned again and its
+    compare-and-swap can succeed by accident.
     """
-    kept = {edit.edit_id for edit in head.edits}
-    return [edit for edit in held if edit.edit_id not in kept and edit.revision > head.base]
+    stored = {edit.edit_id for edit in head.edits}
+    return [edit for edit in accepted if edit.edit_id not in stored and edit.revision > head.base]
 
 
-def written_again(lost: Iterable[Edit], held: Iterable[Edit], head: Head) -> list[Edit]:
-    """Return the edits that bring back lost ones, to be put after a head.
+def restoring_edits(lost: Iterable[Edit], accepted: Iterable[Edit], head: Head) -> list[Edit]:
+    """Return edits that restore the lost ones, to be appended to a head.
 
-    An edit that was made meanwhile is not undone: its author did not see the lost one, but has
-    decided later. So its cells keep what it has set, and the history says which those are.
+    Edits that were made since the loss are not undone: the cells that they set keep their values,
+    since their authors decided later. The reason of the restoring edit lists these cells.
     """
-    known = {edit.edit_id for edit in held}
-    meanwhile = {
+    known = {edit.edit_id for edit in accepted}
+    set_since = {
         (cell.row, cell.knob): cell.value
         for edit in head.edits
         if edit.edit_id not in known
         for cell in edit.cells
     }
-    return [_again(edit, meanwhile, head.revision + n) for n, edit in enumerate(lost, 1)]
+    return [_restoring_edit(edit, set_since, head.revision + n) for n, edit in enumerate(lost, 1)]
 
 
-def _again(edit: Edit, meanwhile: dict[tuple[str, str], CellValue | None], revision: int) -> Edit:
-    places = {(cell.row, cell.knob): cell.value for cell in edit.cells}
-    left = [p for p, value in places.items() if p in meanwhile and meanwhile[p] != value]
-    cells = [cell for cell in edit.cells if (cell.row, cell.knob) not in left]
+def _restoring_edit(
+    edit: Edit, set_since: dict[tuple[str, str], CellValue | None], revision: int
+) -> Edit:
+    values = {(cell.row, cell.knob): cell.value for cell in edit.cells}
+    skipped = [k for k, value in values.items() if k in set_since and set_since[k] != value]
+    cells = [cell for cell in edit.cells if (cell.row, cell.knob) not in skipped]
     why = f"{edit.why} (written again: the store had lost it)"
-    if left:
-        why += "; left as set meanwhile: " + ", ".join(f"{row} {knob}" for row, knob in left)
+    if skipped:
+        why += "; left as set meanwhile: " + ", ".join(f"{row} {knob}" for row, knob in skipped)
     return Edit(edit.edit_id, revision, cells, edit.who, why, edit.at_s)
--- a/gladedrum/table/follow.py
+++ b/gladedrum/table/follow.py
@@ -1,4 +1,7 @@
-"""Following the table straight from the store, for boxes that do not pass it on."""
+"""Following the table directly from the store, for boxes that do not pass it on to peers.
+
+A box that has peers to follow learns of new revisions from them, and reads the store only then.
+"""
 
 import logging
 from collections.abc import Callable
@@ -15,18 +18,18 @@
 
 __all__ = ["TableFollower"]
 
-WATCH_S = 25.0
-"""How long one watch of the table waits, in seconds; each is paid for, and the store allows 30."""
+WATCH_TIMEOUT_S = 25.0
+"""How long one watch of the table waits, in seconds. The store charges per call and allows 30."""
 
-RETRY_S = 2.0
-"""Pause after a failed call, in seconds: the last table stays in force meanwhile."""
+RETRY_DELAY_S = 2.0
+"""Pause after a failed call, in seconds; the last table stays in force meanwhile."""
 
-PEER_CHECK_S = 0.5
-"""How often a box that relies on its peers looks at the revision that they name, in seconds."""
+PEER_CHECK_INTERVAL_S = 0.5
+"""How often a box that relies on its peers compares its revision with theirs, in seconds."""
 
-SETTLE_S = 1.0
-"""How long after its first read a box begins to watch, in seconds: it has read by then who its
-peers are."""
+FIRST_WATCH_DELAY_S = 1.0
+"""Pause between the first read and the first watch, in seconds; by then the box has read the list
+of its peers."""
 
 _log = logging.getLogger(__name__)
 
@@ -39,12 +42,12 @@
     clock : IReactorTime
         A monotonic clock.
     kv : StoreClient
-        Where the table is.
+        Holds the table.
     in_force : TableInForce
-        The table that counts on this box.
+        Kept up to date.
     follows_peers : callable
-        Whether peers tell of new revisions; the store is then read only for a new one, or if they
-        have told nothing for as long as a watch waits.
+        Returns whether peers inform this box of new revisions. If so, it reads the store only for
+        a new revision, or if peers have been silent for `WATCH_TIMEOUT_S`.
     """
 
     def __init__(
@@ -60,72 +63,73 @@
         self._in_force = in_force
         self._follows_peers = follows_peers
         self._peer_revision = NEVER
-        self._told_s = clock.seconds()
-        self._settled = False
-        self._watching: defer.Deferred | None = None
+        self._informed_s = clock.seconds()
+        self._first_read_done = False
+        self._pending_watch: defer.Deferred | None = None
 
     def note_era(self) -> None:
-        """Note that the store has come back from a copy: the table is read at once."""
+        """Read the table again at once, since the store was restored from a copy."""
         self._peer_revision = max(self._peer_revision, Revision(self._kv.era, 0))
-        watching, self._watching = self._watching, None
-        if watching is not None:
-            watching.cancel()
+        pending, self._pending_watch = self._pending_watch, None
+        if pending is not None:
+            pending.cancel()
 
     def take_peer_revision(self, revision: Revision) -> None:
-        """Note the revision that a peer has in force."""
-        self._told_s = self._clock.seconds()
+        """Record the revision that a peer has in force."""
+        self._informed_s = self._clock.seconds()
         if revision.number == 0:
             self._in_force.note_empty(revision.era)
         self._peer_revision = max(self._peer_revision, revision)
         if revision <= self._in_force.table.place:
-            self._in_force.heard()
+            self._in_force.mark_confirmed()
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
             if self._may_rely_on_peers():
-                await sleep(self._clock, PEER_CHECK_S)
+                await sleep(self._clock, PEER_CHECK_INTERVAL_S)
                 continue
             try:
-                await self._call_store()
+                await self._read_and_watch()
             except HistoryGoneError:
                 continue
             except (KVUnavailableError, KVUnknownError) as exc:
                 age_s = round(self._in_force.age_s, 1)
-                _log.info("table not read", extra={"reason": str(exc), "age_s": age_s})
-                await sleep(self._clock, RETRY_S)
+                _log.info("reading the table failed", extra={"reason": str(exc), "age_s": age_s})
+                await sleep(self._clock, RETRY_DELAY_S)
 
     def _may_rely_on_peers(self) -> bool:
-        told_lately = self._clock.seconds() - self._told_s < WATCH_S
+        informed_recently = self._clock.seconds() - self._informed_s < WATCH_TIMEOUT_S
         current = self._peer_revision <= self._in_force.table.place
-        return self._follows_peers() and told_lately and current
+        return self._follows_peers() and informed_recently and current
 
-    async def _call_store(self) -> None:
-        held = self._in_force.held
+    async def _read_and_watch(self) -> None:
+        accepted = self._in_force.held
         news = await self._store.read(self._in_force.table, self._in_force.edits)
-        if lost_edits(held, news.head):
-            # What is in force stays meanwhile; the next look takes the table that has all.
-            count = await self._store.write_again(held)
-            _log.warning("lost edits of the table written again", extra={"edits": count})
+        if lost_edits(accepted, news.head):
+            # The table in force stays; the next read gets the table with the restored edits.
+            count = await self._store.restore_lost_edits(accepted)
+            _log.warning("lost edits of the table restored", extra={"edits": count})
             return
         self._in_force.take(news.table, news.head.edits)
-        self._told_s = self._clock.seconds()
-        if not self._settled:
-            # A box that has just started does not know yet that it has peers to follow: else each
-            # of a large fleet holds one watch for nothing.
-            self._settled = True
-            await sleep(self._clock, SETTLE_S)
+        self._informed_s = self._clock.seconds()
+        if not self._first_read_done:
+            # A box that has just started does not know yet whether it has peers to follow. Without
+            # the pause, every box of a large fleet would start a needless watch.
+            self._first_read_done = True
+            await sleep(self._clock, FIRST_WATCH_DELAY_S)
         if not self._follows_peers():
             await self._watch(news.kv_revision)
 
     async def _watch(self, revision: Revision) -> None:
-        """Wait for a change, or for the store to come back from a copy."""
-        self._watching = watching = start(self._kv.watch(HEAD_KEY, revision, WATCH_S))
+        """Wait for a change of the table, the timeout, or a restore of the store from a copy."""
+        self._pending_watch = watch = start(self._kv.watch(HEAD_KEY, revision, WATCH_TIMEOUT_S))
         try:
-            await watching
+            await watch
         except defer.CancelledError:
-            if self._watching is watching:
+            # `note_era` clears the attribute before it cancels; other cancellations end the task.
+            if self._pending_watch is watch:
                 raise
         finally:
-            if self._watching is watching:
-                self._watching = None
+            if self._pending_watch is watch:
+                self._pending_watch = None
--- a/gladedrum/table/knobs.py
+++ b/gladedrum/table/knobs.py
@@ -1,6 +1,6 @@
 """The columns of the table of weights and limits, each declared once.
 
-The command line's help, the checks of edits and the documentation are made from `KNOBS`.
+The command line's help, the validation of edits and the documentation are derived from `KNOBS`.
 
 Examples
 --------
@@ -9,7 +9,7 @@
 >>> KNOBS["retry_share"].parse("-1")
 Traceback (most recent call last):
     ...
-ValueError: -1 is below the least allowed, 0
+ValueError: -1 is less than the minimum, 0
 """
 
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 __all__ = ["KNOBS", "CellValue", "Knob"]
 
 CellValue = bool | int | float | str
-"""What a cell can hold."""
+"""The types of values that a cell can hold."""
 
 _TRUE = ("yes", "true", "1")
 _FALSE = ("no", "false", "0")
@@ -32,15 +32,15 @@
     Parameters
     ----------
     name : str
-        Its heading.
+        The column's heading.
     default : bool, int, float or str
-        The value where no row says otherwise; its type is the knob's type.
+        The value if no row sets the knob; its type is the knob's type.
     unit : str
-        The unit of a number.
+        The unit of a number; empty for none.
     description : str
-        What it does.
+        What the knob controls.
     minimum, maximum : float, optional
-        Bounds, both allowed values.
+        Inclusive bounds of a number.
     is_policy : bool
         True if the value must name a policy.
     """
@@ -54,12 +54,12 @@
     is_policy: bool = False
 
     def parse(self, text: str) -> CellValue:
-        """Turn the text of a cell into a value.
+        """Parse the text of a cell.
 
         Raises
         ------
         ValueError
-            If the text does not fit; the message says what would.
+            If the text is not valid for this knob; the message says what is allowed.
         """
         text = text.strip()
         match self.default:
@@ -71,7 +71,7 @@
                 return self._parse_name(text)
 
     def render(self, value: CellValue) -> str:
-        """Return the text of a value, as `parse` takes it."""
+        """Return the text of a value, in the form that `parse` accepts."""
         match value:
             case bool():
                 return "yes" if value else "no"
@@ -89,9 +89,9 @@
         if value != value or value in (float("inf"), float("-inf")):
             raise ValueError(f"{text} is not a finite number")
         if self.minimum is not None and value < self.minimum:
-            raise ValueError(f"{text} is below the least allowed, {self._with_unit(self.minimum)}")
+            raise ValueError(f"{text} is less than the minimum, {self._with_unit(self.minimum)}")
         if self.maximum is not None and value > self.maximum:
-            raise ValueError(f"{text} is above the most allowed, {self._with_unit(self.maximum)}")
+            raise ValueError(f"{text} is greater than the maximum, {self._with_unit(self.maximum)}")
         return value
 
     def _with_unit(self, number: float) -> str:
@@ -99,7 +99,7 @@
 
     def _parse_name(self, text: str) -> str:
         if self.is_policy and text not in policy_names():
-            raise ValueError(f"{text!r} is not one of {', '.join(policy_names())}")
+            raise ValueError(f"{text!r} must be one of {', '.join(policy_names())}")
         return text
 
 
--- a/gladedrum/table/site.py
+++ b/gladedrum/table/site.py
@@ -31,7 +31,7 @@
 
 
 class _EditBody(msgspec.Struct):
-    """What an edit's author sends."""
+    """The body of a request that edits the table."""
 
     cells: list[Cell]
     seen_revision: int
@@ -41,16 +41,16 @@
 
 
 class TableSite:
-    """The routes of the table.
+    """The HTTP routes of the table.
 
     Parameters
     ----------
     token : str
-        What edits must carry as ``Authorization: Bearer``.
+        The token that edits must carry as ``Authorization: Bearer``.
     in_force : TableInForce
-        The table that counts on this box.
+        The table in force on this box.
     store : TableStore
-        Edits it.
+        Reads and edits the stored table.
     states : callable
         Returns the state of the table on every box.
     """
@@ -71,7 +71,7 @@
 
     @app.route("/rows", methods=["GET"])
     async def rows(self, request: Request) -> bytes:
-        """Show the newest table; the one in force here if the service does not answer."""
+        """Return the newest table, or the one in force here if the service does not answer."""
         table = self._in_force.table
         try:
             table = (await self._store.read(table)).table
@@ -82,12 +82,12 @@
 
     @app.route("/status", methods=["GET"])
     async def status(self, request: Request) -> bytes:
-        """Show which box has which revision."""
+        """Return the revision of the table on each box."""
         return _json(request, {"boxes": await self._states()})
 
     @app.route("/history", methods=["GET"])
     async def history(self, request: Request) -> bytes:
-        """Show the last edits, the newest first."""
+        """Return the newest edits, newest first."""
         count = int(request.args.get(b"count", [str(_DEFAULT_HISTORY).encode()])[0])
         try:
             edits = await self._store.history(count)
@@ -97,7 +97,7 @@
 
     @app.route("/edits", methods=["POST"])
     async def edit(self, request: Request) -> bytes:
-        """Change cells."""
+        """Validate an edit and apply it to the stored table."""
         if not self._is_allowed(request):
             message = "edits must carry the operator's token of the box's settings"
             return _error(request, HTTPStatus.UNAUTHORIZED, message)
@@ -110,10 +110,11 @@
             return _findings(request, findings)
         if body.dry_run:
             return _json(request, {"result": "dry-run", "cells": len(body.cells)})
-        # The edit goes on if its author hangs up: it must not end half known.
+        # A task of its own: the edit continues if the caller disconnects, so that its result is
+        # known and recorded here.
         result = await start(self._store.edit(body.cells, body.seen_revision, body.who, body.why))
         if isinstance(result, Accepted):
-            self._in_force.hold(result.edit)
+            self._in_force.keep_accepted(result.edit)
         return _result(request, result)
 
     def _is_allowed(self, request: Request) -> bool:
--- a/gladedrum/table/spread.py
+++ b/gladedrum/table/spread.py
@@ -1,8 +1,8 @@
-"""Bringing the table into force on every box.
+"""The table in force on a box, and its distribution to all boxes.
 
-A few boxes of each data hall read the key-value service and watch it; all others ask one of
-these, or any other peer, from time to time. A box takes over only a higher revision, so that
-no change ever reverts, in whatever order news arrive.
+A few boxes of each data hall (the watchers) read the table from the key-value service and watch
+it. All other boxes regularly pull it from a watcher or another peer. A box accepts only newer
+tables than its own, so a change never reverts, whatever the order in which messages arrive.
 """
 
 import logging
@@ -34,17 +34,21 @@
     unit="s", minimum=0.05, maximum=10,
 )  # fmt: skip
 
-_ANY_PEER_SHARE = 0.25
-_WATCH_S = 25.0
+_ANY_PEER_PROBABILITY = 0.25
+"""The probability that a box pulls from any peer of its data hall instead of a watcher."""
+
+_WATCH_TIMEOUT_S = 25.0
 """How long one watch of the table waits, in seconds; the store allows 30."""
+
 _WATCHER_KEY = "watchers of the table"
+"""The key by which rendezvous hashing chooses the watchers; equal on all boxes."""
 
 _log = logging.getLogger(__name__)
 _encode = msgspec.json.Encoder().encode
 
 
 class _Message(msgspec.Struct):
-    """What a box tells a peer: edits that go on from the peer's revision, or everything."""
+    """An update for a peer: the edits after its revision, or a snapshot with the newest edits."""
 
     edits: list[Edit] = []
     snapshot: Snapshot | None = None
@@ -55,7 +59,7 @@
 
 
 class TableState(TypedDict):
-    """Which revision of the table a box has, and how old its news are."""
+    """The revision of the table on a box, and the time since it was confirmed."""
 
     box: str
     revision: int | None
@@ -63,19 +67,19 @@
 
 
 class TableInForce:
-    """The table that counts on this box.
+    """The table that this box applies to requests, and the edits that it must not lose.
 
     Parameters
     ----------
     clock : IReactorTime
-        Tells how old news are.
+        A monotonic clock, for the age of the table.
 
     Attributes
     ----------
     table : Table
-        The table.
+        The newest table that this box knows.
     known : bool
-        False until the service or a peer has told the table.
+        False until the table has been received from the service or a peer.
     """
 
     def __init__(self, clock: IReactorTime):
@@ -84,39 +88,39 @@
         self._edits: list[Edit] = []
         self._accepted: dict[str, Edit] = {}
         self._clock = clock
-        self._heard_s = clock.seconds()
+        self._confirmed_s = clock.seconds()
 
     @property
     def age_s(self) -> float:
-        """The time since the service or a peer last confirmed or changed the table, seconds."""
-        return self._clock.seconds() - self._heard_s
+        """The time since the service or a peer last confirmed or changed the table, in seconds."""
+        return self._clock.seconds() - self._confirmed_s
 
     @property
     def held(self) -> list[Edit]:
-        """The last edits that are known to be accepted, in order; those that led to the table."""
+        """The newest edits known to be accepted: those in the table, then those not in it yet."""
         return [*self._edits, *self._accepted.values()]
 
     @property
     def edits(self) -> Sequence[Edit]:
-        """The last edits that led to the table."""
+        """The newest edits in the table, in order of revision."""
         return self._edits
 
     def note_empty(self, era: int) -> None:
-        """Note a peer's word that the table is empty; a box that knows none needs no read of it.
+        """Accept from a peer that the table is empty in this era, if no table is known yet.
 
-        Boxes that start at once would else each read the store for it.
+        This saves boxes that start at the same time from reading an empty table from the store.
         """
         if self.table == Table():
             self.table = Table(era=era)
 
-    def hold(self, edit: Edit) -> None:
-        """Keep an edit that was accepted here until the table that has it is in force."""
+    def keep_accepted(self, edit: Edit) -> None:
+        """Keep an edit that was accepted through this box until it is in the table in force."""
         if all(known.edit_id != edit.edit_id for known in self._edits):
             self._accepted[edit.edit_id] = edit
 
     def take(self, table: Table, edits: Sequence[Edit]) -> None:
-        """Take over a table if it is newer, with the edits that led to it."""
-        self.heard()
+        """Bring a table into force if it is newer, with the newest edits in it."""
+        self.mark_confirmed()
         if table.place > self.table.place:
             self.table = table
             self._edits = list(edits)
@@ -124,13 +128,13 @@
                 self._accepted.pop(edit.edit_id, None)
             _log.info("table in force", extra={"revision": table.revision, "era": table.era})
 
-    def heard(self) -> None:
-        """Note that the table was confirmed."""
+    def mark_confirmed(self) -> None:
+        """Record that the service or a peer has confirmed the table now."""
         self.known = True
-        self._heard_s = self._clock.seconds()
+        self._confirmed_s = self._clock.seconds()
 
     def message_for(self, revision: int) -> bytes:
-        """Return what a peer at `revision` lacks; empty if nothing."""
+        """Return the message that brings a peer at `revision` up to date; empty if it is."""
         if revision >= self.table.revision:
             return b""
         newer = [edit for edit in self._edits if edit.revision > revision]
@@ -140,41 +144,42 @@
         snapshot = Snapshot(self.table.revision, rows)
         return _encode(_Message(edits=self._edits, snapshot=snapshot))
 
-    def take_message(self, message: bytes) -> None:
-        """Take over what a peer has sent."""
+    def apply_message(self, message: bytes) -> None:
+        """Apply a peer's message, as made by `message_for`."""
         if not message:
-            self.heard()
+            self.mark_confirmed()
             return
-        news = _decode(message)
-        if news.snapshot is not None:
-            rows = news.snapshot.rows
-            self.take(Table(news.snapshot.revision, rows, self.table.era), news.edits)
-        elif news.edits and news.edits[0].revision > self.table.revision + 1:
-            # The answer to an older question; with a gap it would make a wrong table.
-            _log.warning("table edits with a gap dropped")
+        update = _decode(message)
+        if update.snapshot is not None:
+            rows = update.snapshot.rows
+            self.take(Table(update.snapshot.revision, rows, self.table.era), update.edits)
+        elif update.edits and update.edits[0].revision > self.table.revision + 1:
+            # An answer to an outdated request: applying it would skip edits.
+            _log.warning("table update dropped: it skips revisions")
         else:
-            self.take(apply_edits(self.table, news.edits), [*self._edits, *news.edits][-100:])
+            self.take(apply_edits(self.table, update.edits), [*self._edits, *update.edits][-100:])
 
 
 class TableSpread:
-    """Keeps a `TableInForce` up to date.
+    """Keeps a `TableInForce` up to date, by watching the store or by pulling from peers.
 
     Parameters
     ----------
     cfg : Settings
         Read for the ``[table]`` section.
     clock : IReactorTime
-        Where pauses are waited for.
+        Times the pauses.
     kv : StoreClient
         Watched if this box is one of the watchers.
     in_force : TableInForce
         Kept up to date.
     live_boxes : callable
-        Returns the live boxes, this one included.
+        Returns the live boxes, including this one.
     me : callable
         Returns this box.
     ask : callable
-        Asks a box for what this one lacks: takes a `Box` and a revision.
+        Pulls from a peer: called with its `Box` and this box's revision, it returns the peer's
+        message (see `TableInForce.message_for`).
     """
 
     def __init__(
@@ -199,7 +204,7 @@
         self._rng = random.Random()
 
     async def run(self) -> None:
-        """Watch or ask, until cancelled."""
+        """Watch or pull, until cancelled."""
         while True:
             if self._is_watcher():
                 await self._watch()
@@ -215,23 +220,23 @@
         return self._me().name in self._hall_watchers()
 
     async def _watch(self) -> None:
-        """Read the table and watch it for as long as this box is a watcher."""
+        """Read the table, and watch it for as long as this box is a watcher."""
         try:
             news = await self._store.read(self._in_force.table, self._in_force.edits)
             if lost_edits(self._in_force.held, news.head):
-                await self._store.write_again(self._in_force.held)
+                await self._store.restore_lost_edits(self._in_force.held)
                 return
             self._in_force.take(news.table, news.head.edits)
             revision = news.kv_revision
             while self._is_watcher():
-                answer = await self._kv.watch(HEAD_KEY, revision, _WATCH_S)
+                answer = await self._kv.watch(HEAD_KEY, revision, _WATCH_TIMEOUT_S)
                 revision = answer.revision
                 for change in answer.changes:
-                    self._changed(change)
+                    self._apply_change(change)
         except (KVUnavailableError, KVUnknownError, HistoryGoneError) as exc:
-            _log.warning("table not watched", extra={"reason": str(exc)})
+            _log.warning("watching the table failed", extra={"reason": str(exc)})
 
-    def _changed(self, change: StoredItem) -> None:
+    def _apply_change(self, change: StoredItem) -> None:
         if change.key != HEAD_KEY or change.value is None:
             return
         head = _decode_head(change.value)
@@ -248,18 +253,19 @@
         except defer.CancelledError:
             raise
         except Exception as exc:
-            # Whatever is wrong with one peer, the next round asks another.
-            _log.debug("no table from peer", extra={"peer": peer.name, "reason": repr(exc)})
+            # Whatever the cause, the next round may choose another peer.
+            _log.debug("pulling the table failed", extra={"peer": peer.name, "reason": repr(exc)})
             return
+        # An empty message confirms the table only if this box has one to compare.
         if message or self._in_force.known:
-            self._in_force.take_message(message)
+            self._in_force.apply_message(message)
 
     def _choose_peer(self) -> Box | None:
         me = self._me()
         peers = [b for b in self._live_boxes() if b.name != me.name]
-        near = [b for b in peers if b.data_hall == me.data_hall] or peers
+        hall_peers = [b for b in peers if b.data_hall == me.data_hall] or peers
         watchers = set(self._hall_watchers())
-        best = [b for b in near if b.name in watchers]
-        if self._rng.random() < _ANY_PEER_SHARE or not best:
-            best = near
-        return self._rng.choice(best) if best else None
+        candidates = [b for b in hall_peers if b.name in watchers]
+        if self._rng.random() < _ANY_PEER_PROBABILITY or not candidates:
+            candidates = hall_peers
+        return self._rng.choice(candidates) if candidates else None
--- a/gladedrum/table/store.py
+++ b/gladedrum/table/store.py
@@ -1,4 +1,8 @@
-"""The table in the key-value service: reading, and edits of one compare-and-swap each."""
+"""The table in the key-value service: reading it, and editing it.
+
+Each edit takes one compare-and-swap of the head. Older edits are moved to snapshots, from which
+the table is rebuilt, and to logs, which keep the history.
+"""
 
 import time
 import uuid
@@ -20,7 +24,7 @@
     apply_edits,
     conflicts_of,
     lost_edits,
-    written_again,
+    restoring_edits,
 )
 
 __all__ = [
@@ -36,13 +40,17 @@
 ]
 
 HEAD_KEY = "gladedrum/table/head"
-"""The key of the head, which every edit swaps."""
+"""The key of the head, which every edit replaces by a compare-and-swap."""
 
 _SNAPSHOT_PREFIX = "gladedrum/table/snapshot/"
 _LOG_PREFIX = "gladedrum/table/log/"
 _MAX_HEAD_EDITS = 100
+"""The length at which a head is compacted."""
+
 _KEPT_HEAD_EDITS = 50
-_TRIES = 20
+"""The newest edits that stay in a compacted head, for conflict checks and updates of peers."""
+
+_MAX_SWAP_ATTEMPTS = 20
 
 _encode = msgspec.json.Encoder().encode
 _decode_head = msgspec.json.Decoder(Head).decode
@@ -51,7 +59,7 @@
 
 
 class TooOldError(GladedrumError):
-    """The revision that an edit's author saw is older than the head's edits."""
+    """The edit is based on a revision that is older than the head's edits."""
 
 
 class Accepted(NamedTuple):
@@ -68,33 +76,33 @@
 
 
 class Conflicting(NamedTuple):
-    """The edit is not in the table, since others changed the same cells."""
+    """The edit is not in the table, since other edits have changed the same cells."""
 
     conflicts: list[CellConflict]
 
 
 class InDoubt(NamedTuple):
-    """Nobody can say whether the edit is in the table; look again later."""
+    """It is unknown whether the edit is in the table; the history will show it later."""
 
     edit_id: str
     reason: str
 
 
 EditResult = Accepted | NotApplied | Conflicting | InDoubt
-"""What an edit can lead to."""
+"""The possible outcomes of an edit."""
 
 
 class TableNews(NamedTuple):
-    """The table and its newest edits.
+    """The newest table, as read from the store.
 
     Parameters
     ----------
     table : Table
         The table.
     head : Head
-        The edits that led to it.
-    kv_revision : int
-        The revision of the head's key, to watch from.
+        The head with the newest edits in the table.
+    kv_revision : Revision
+        The store's revision at the time of the read, from which to watch for changes.
     """
 
     table: Table
@@ -108,25 +116,27 @@
     Parameters
     ----------
     kv : StoreClient
-        The service.
+        The key-value service.
     """
 
     def __init__(self, kv: StoreClient):
         self._kv = kv
 
-    async def read(self, known: Table, held: Sequence[Edit] = ()) -> TableNews:
+    async def read(self, known: Table, known_edits: Sequence[Edit] = ()) -> TableNews:
         """Return the newest table.
 
         Parameters
         ----------
-        known, held : Table, sequence of Edit
-            What the caller has, and the last edits that led to it; spares reading the snapshot if
-            the edits go on from it.
+        known : Table
+            The table that the caller has. If the head's edits continue from it, the snapshot need
+            not be read.
+        known_edits : sequence of Edit
+            The newest edits in `known`.
 
         Raises
         ------
         KVUnavailableError
-            If no answer came.
+            If the service did not answer, or the snapshot does not exist.
         """
         listing = await self._kv.list(HEAD_KEY)
         era = listing.revision.era
@@ -134,48 +144,55 @@
         if row is None:
             return TableNews(Table(era=era), Head(), listing.revision)
         head = _decode_head(row.value)
-        goes_on = known.era == era and _goes_on_from(known, held, head)
-        base = known if goes_on else replace(await self._snapshot(head.base), era=era)
+        can_extend = known.era == era and _continues(head, known, known_edits)
+        base = known if can_extend else replace(await self._snapshot(head.base), era=era)
         return TableNews(apply_edits(base, head.edits), head, listing.revision)
 
-    async def write_again(self, held: Sequence[Edit]) -> int:
-        """Bring back what the table has lost of the edits that a box holds; return how many.
+    async def restore_lost_edits(self, accepted: Sequence[Edit]) -> int:
+        """Write the accepted edits that the stored table has lost again; return how many.
+
+        Several boxes may do so at once: edits are identified by their ids, so each one is
+        restored only once.
 
-        Several boxes may try at once: each edit is known by its id, and is in the table once.
-        Raises as `read` does, or `KVUnknownError`.
+        Raises
+        ------
+        KVUnavailableError
+            If the service did not answer, or other writers always came first.
+        KVUnknownError
+            If it is unknown whether the write was applied.
         """
-        for _ in range(_TRIES):
+        for _ in range(_MAX_SWAP_ATTEMPTS):
             row = await self._kv.get(HEAD_KEY)
             head = _decode_head(row.value) if row else Head()
-            lost = lost_edits(held, head)
+            lost = lost_edits(accepted, head)
             if not lost:
                 return 0
-            again = written_again(lost, held, head)
-            changed = Head(head.base, [*head.edits, *again])
+            restoring = restoring_edits(lost, accepted, head)
+            changed = Head(head.base, [*head.edits, *restoring])
             try:
                 await self._kv.swap(HEAD_KEY, _encode(changed), row.revision if row else ABSENT)
             except KVConflictError:
                 continue
-            return len(again)
-        raise KVUnavailableError("too many others edit the table at this moment")
+            return len(restoring)
+        raise KVUnavailableError("too many concurrent edits of the table")
 
     async def edit(
         self, cells: Sequence[Cell], seen_revision: int, who: str, why: str
     ) -> EditResult:
-        """Change cells of the table; the cells must have been checked.
+        """Change cells of the table.
 
         Parameters
         ----------
         cells : sequence of Cell
-            What to change.
+            The new values, already validated by `check_cells`.
         seen_revision : int
-            The revision that the author looked at.
+            The revision that the author saw.
         who, why : str
-            Kept with the edit.
+            The author and the reason, stored with the edit.
         """
         edit_id = uuid.uuid4().hex
         in_doubt: KVUnknownError | None = None
-        for _ in range(_TRIES):
+        for _ in range(_MAX_SWAP_ATTEMPTS):
             try:
                 row = await self._kv.get(HEAD_KEY)
                 head = _decode_head(row.value) if row else Head()
@@ -188,7 +205,7 @@
                 if conflicts:
                     return Conflicting(conflicts)
                 edit = Edit(edit_id, head.revision + 1, list(cells), who, why, time.time())
-                head = await self._shortened(head)
+                head = await self._compacted(head)
                 changed = Head(head.base, [*head.edits, edit])
                 await self._kv.swap(HEAD_KEY, _encode(changed), row.revision if row else ABSENT)
                 return Accepted(edit.revision, edit)
@@ -202,10 +219,10 @@
                 return InDoubt(edit_id, str(in_doubt))
         if in_doubt is not None:
             return InDoubt(edit_id, str(in_doubt))
-        return NotApplied("too many others edit the table at this moment")
+        return NotApplied("too many concurrent edits of the table")
 
     async def history(self, count: int) -> list[Edit]:
-        """Return the last edits, the newest first; raises as `read` does."""
+        """Return the newest `count` edits, newest first; raises as `read` does."""
         row = await self._kv.get(HEAD_KEY)
         if row is None:
             return []
@@ -222,15 +239,15 @@
             return Table()
         row = await self._kv.get(f"{_SNAPSHOT_PREFIX}{revision:012d}")
         if row is None:
-            raise KVUnavailableError(f"the snapshot of revision {revision} is not there")
+            raise KVUnavailableError(f"the snapshot of revision {revision} does not exist")
         snapshot = _decode_snapshot(row.value)
         return Table(snapshot.revision, snapshot.rows)
 
-    async def _shortened(self, head: Head) -> Head:
-        """Move the older edits into a snapshot and a log once there are many.
+    async def _compacted(self, head: Head) -> Head:
+        """Move the older edits into a snapshot and a log if the head has grown too long.
 
-        The snapshot is written before the head that names it, so that a reader of the head
-        always finds it. Writing it twice writes the same.
+        The snapshot is written before the head that refers to it, so that readers of the head
+        always find it. The writes are idempotent.
         """
         if len(head.edits) < _MAX_HEAD_EDITS:
             return head
@@ -246,7 +263,7 @@
         try:
             await self._kv.swap(key, value, ABSENT)
         except KVConflictError:
-            # Somebody else has just written the same.
+            # Another box has just written the same value.
             return
 
 
@@ -254,11 +271,11 @@
     return _decode_edits(value)[::-1]
 
 
-def _goes_on_from(known: Table, held: Sequence[Edit], head: Head) -> bool:
-    """Whether a head's edits go on from a table, and not from another of the same revision."""
+def _continues(head: Head, known: Table, known_edits: Sequence[Edit]) -> bool:
+    """Whether a head's edits continue from a table, not from another one of the same revision."""
     if known.revision < head.base:
         return False
-    at = next((edit for edit in head.edits if edit.revision == known.revision), None)
-    if at is None:
+    same_revision = next((edit for edit in head.edits if edit.revision == known.revision), None)
+    if same_revision is None:
         return known.revision == head.base
-    return bool(held) and held[-1].edit_id == at.edit_id
+    return bool(known_edits) and known_edits[-1].edit_id == same_revision.edit_id
--- a/gladedrum/table/tests/test_edits.py
+++ b/gladedrum/table/tests/test_edits.py
@@ -1,4 +1,4 @@
-"""The rules of edits: conflicts on the same cell, none on others, and no way back."""
+"""Edits conflict only on the same cell, and the table in force never goes back."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
 )
 
 
-def test_wrong_cells_are_reported_together():
+def test_all_invalid_cells_are_reported_together():
     cells = [
         Cell("acme", "weight", 1.0),
         Cell("default", "wieght", 1.0),
@@ -49,7 +49,7 @@
     assert conflicts_of([Cell("default", "weight", 2.0)], 0, head) == []
 
 
-def test_the_strongest_row_counts():
+def test_the_row_with_the_highest_precedence_applies():
     rows = {
         "default": {"weight": 2.0, "policy": "fifo"},
         "class:c": {"weight": 3.0},
@@ -62,20 +62,20 @@
 
 
 @given(_edit_lists, st.data())
-def test_boxes_that_hear_in_any_order_agree_and_never_go_back(edits, data):
-    """Messages between boxes arrive late, twice and crossed; revisions only grow."""
+def test_messages_in_any_order_lead_to_the_same_table_and_never_go_back(edits, data):
+    """Messages between boxes may be delayed, duplicated and reordered."""
     clock = task.Clock()
     tables = [apply_edits(Table(), edits[:n]) for n in range(len(edits) + 1)]
-    source, sink = TableInForce(clock), TableInForce(clock)
+    sender, receiver = TableInForce(clock), TableInForce(clock)
     messages = [b""]
     for number, table in enumerate(tables):
-        source.take(table, edits[max(0, number - 3) : number])
-        messages.append(source.message_for(data.draw(st.integers(0, number))))
+        sender.take(table, edits[max(0, number - 3) : number])
+        messages.append(sender.message_for(data.draw(st.integers(0, number))))
     highest = 0
     for message in data.draw(st.permutations(messages * 2)):
-        sink.take_message(message)
-        assert sink.table.revision >= highest
-        highest = sink.table.revision
-        assert sink.table.rows == tables[highest].rows
-    sink.take_message(source.message_for(sink.table.revision))
-    assert sink.table == tables[-1]
+        receiver.apply_message(message)
+        assert receiver.table.revision >= highest
+        highest = receiver.table.revision
+        assert receiver.table.rows == tables[highest].rows
+    receiver.apply_message(sender.message_for(receiver.table.revision))
+    assert receiver.table == tables[-1]
--- a/gladedrum/table/tests/test_follow.py
+++ b/gladedrum/table/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""A cell that is changed in the store comes into force on a box that follows it."""
+"""A change of a cell in the store comes into force on a box that follows the table."""
 
 import msgspec
 from twisted.internet import reactor
@@ -13,7 +13,7 @@
 
 
 class TableFollowerTest(TestCase):
-    """Against the stand-in of the store."""
+    """Runs against the stand-in of the store."""
 
     timeout = 20
 
@@ -29,7 +29,7 @@
         await self.web.close()
         await self.listening.stopListening()
 
-    async def test_a_policy_is_swapped_by_a_cell_without_a_restart(self):
+    async def test_a_changed_policy_comes_into_force_without_a_restart(self):
         in_force = TableInForce(reactor)
         running = start(TableFollower(reactor, self.kv, in_force).run())
         running.addErrback(lambda _failure: None)
@@ -45,7 +45,7 @@
         assert in_force.table.effective("org", "r2").name("policy") == "fair_slack"
         running.cancel()
 
-    async def test_a_table_that_can_t_be_read_leaves_the_last_one_in_force(self):
+    async def test_an_invalid_stored_table_leaves_the_last_one_in_force(self):
         in_force = TableInForce(reactor)
         cell = Cell("class:r1", "policy", "least_loaded")
         store = TableStore(self.kv)
@@ -54,6 +54,6 @@
         in_force.take(news.table, news.head.edits)
         self.service.write(HEAD_KEY, b"{no table")
         with self.assertRaises(msgspec.MsgspecError):
-            # The supervisor runs it again.
+            # The error ends the follower; on a box, the supervisor restarts it.
             await TableFollower(reactor, self.kv, in_force).run()
         assert in_force.table.effective("org", "r1").name("policy") == "least_loaded"
--- a/gladedrum/table/tests/test_from_copy.py
+++ b/gladedrum/table/tests/test_from_copy.py
@@ -1,9 +1,7 @@
-"""A table whose store comes back from a copy: no accepted edit is lost, and all have one table.
+"""After the store is restored from a copy, no accepted edit is lost and all boxes have one table.
 
-Seen with boxes as they were: an accepted edit was lost with the copy and its revision given to
-another one. A box that had the first never took the second, one that started took only the second:
-the same revision with 2.0 on one box and 3.0 on the other, and nothing told of it. Cause: what is
-in force was known by its revision alone, and nobody held an edit once it was accepted.
+Guards against boxes with different tables of the same revision: a restored store assigns revisions
+again, so an edit that it lost and a later one can have the same number.
 """
 
 import contextlib
@@ -17,11 +15,11 @@
 
 WAIT_S = 8.0
 
-PLACE_STEPS, PLACE_STEP_S = 200, 0.02
+COMPARE_STEPS, COMPARE_STEP_S = 200, 0.02
 
 
 class TableFromCopyTest(StoreCase):
-    """Boxes that follow one table, against the stand-in."""
+    """Boxes that follow one table, against the stand-in of the store."""
 
     async def setUp(self):
         await super().setUp()
@@ -35,7 +33,7 @@
         return in_force
 
     async def call_often(self, store):
-        """Call as the other parts of a box do; a watch that waits learns of no new era."""
+        """Call the store as other parts of a box do; a waiting watch does not notice a new era."""
         while True:
             with contextlib.suppress(KVUnavailableError):
                 await store.get("other")
@@ -54,8 +52,8 @@
             await sleep(reactor, 0.02)
         raise AssertionError([box.table for box in boxes])
 
-    async def boxes_beyond_the_copy(self):
-        """Return two boxes that have an edit which the copy lacks."""
+    async def boxes_ahead_of_the_copy(self):
+        """Return two boxes that have an edit which the copy of the store lacks."""
         boxes = [self.box(), self.box()]
         await self.edit("weight", 1.0, 0)
         self.service.keep_copy()
@@ -64,25 +62,25 @@
         return boxes
 
     async def wait_for_all(self, boxes, **cells):
-        """Wait until boxes, and one that starts now, have the same table."""
-        late = self.box()
-        await self.until_rows([*boxes, late], **cells)
-        # Rows that stood before the drill match at once; the era is noticed later.
-        for _ in range(PLACE_STEPS):
-            if len({box.table.place for box in (*boxes, late)}) == 1:
+        """Wait until the boxes, and one that starts now, have the same table."""
+        new_box = self.box()
+        await self.until_rows([*boxes, new_box], **cells)
+        # Rows from before the restore match at once, but boxes notice the new era only later.
+        for _ in range(COMPARE_STEPS):
+            if len({box.table.place for box in (*boxes, new_box)}) == 1:
                 return
-            await sleep(reactor, PLACE_STEP_S)
-        self.fail("boxes have tables of two places")
+            await sleep(reactor, COMPARE_STEP_S)
+        self.fail("boxes have tables of different eras or revisions")
 
-    async def test_an_accepted_edit_comes_back(self):
-        boxes = await self.boxes_beyond_the_copy()
+    async def test_an_accepted_edit_is_restored(self):
+        boxes = await self.boxes_ahead_of_the_copy()
         self.service.go_back(None)
         await self.wait_for_all(boxes, weight=2.0)
         history = await self.operator.history(5)
         assert [edit.cells[0].value for edit in history] == [2.0, 1.0]
         assert "written again" in history[0].why
 
-    async def test_an_edit_that_was_made_meanwhile_is_settled_cell_by_cell(self):
+    async def test_cells_that_were_set_after_the_loss_keep_their_values(self):
         boxes = [self.box(), self.box()]
         await self.edit("weight", 1.0, 0)
         self.service.keep_copy()
@@ -97,35 +95,38 @@
         await self.wait_for_all(boxes, weight=3.0, deadline_s=9.0)
         assert "left as set meanwhile: default weight" in (await self.operator.history(1))[0].why
 
-    async def test_an_edit_that_only_its_box_knows_comes_back(self):
+    async def test_an_edit_that_only_one_box_knows_is_restored(self):
         box = self.box()
         await self.edit("weight", 1.0, 0)
         await self.until_rows([box], weight=1.0)
         self.service.keep_copy()
         accepted = await self.edit("weight", 2.0, 1)
-        box.hold(accepted.edit)
+        box.keep_accepted(accepted.edit)
         self.service.go_back(None)
         await self.wait_for_all([box], weight=2.0)
 
-    async def test_a_write_that_held_by_accident_is_found_and_put_right(self):
-        """Revisions are given out again: a write under way meets one that it did not mean."""
-        boxes = await self.boxes_beyond_the_copy()
-        late = self.store()
-        row = await late.get("gladedrum/table/head")
+    async def test_a_write_that_succeeded_by_accident_is_detected_and_repaired(self):
+        """A restored store assigns revisions again, so a compare-and-swap that was under way can
+        match a revision other than the one it read."""
+        boxes = await self.boxes_ahead_of_the_copy()
+        stale_client = self.store()
+        row = await stale_client.get("gladedrum/table/head")
         self.service.go_back(None)
         await self.edit("deadline_s", 7.0, 1, TableStore(self.store()))
         await self.until_rows(boxes, weight=2.0, deadline_s=7.0)
-        # The answer that tells the era comes after the write: a client that knows the era before.
+        # A client that still assumes the earlier era learns of the new one only from the reply to
+        # its write.
         head = self.service._entries["gladedrum/table/head"]
         head.revision = row.revision.number
         await self.assertFailure(
-            start(late.swap("gladedrum/table/head", row.value, row.revision)), KVUnknownError
+            start(stale_client.swap("gladedrum/table/head", row.value, row.revision)),
+            KVUnknownError,
         )
         assert self.service._entries["gladedrum/table/head"].value == row.value
         await self.wait_for_all(boxes, weight=2.0, deadline_s=7.0)
 
-    async def test_two_drills_in_quick_succession(self):
-        boxes = await self.boxes_beyond_the_copy()
+    async def test_two_restores_in_quick_succession(self):
+        boxes = await self.boxes_ahead_of_the_copy()
         self.service.go_back(None)
         await sleep(reactor, 0.05)
         self.service.go_back(None)
