--- a/gladedrum/config/__init__.py
+++ b/gladedrum/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: declared beside the code that reads them, read from an INI file, checked at once."""
+"""Settings: declared next to the code that uses them, read from an INI file and validated there."""
 
 from .core import *
 from .core import __all__ as _core_all
--- a/gladedrum/config/core.py
+++ b/gladedrum/config/core.py
@@ -1,8 +1,8 @@
-"""Declaration, reading and checking of settings.
+"""Declaration, reading and validation of settings.
 
-A module that needs a setting declares an `Item` at import time and later asks a `Settings`
-for its value. `load_settings` checks a whole file against all declared items and reports
-every finding together, with file, section and key.
+A module that needs a setting declares an `Item` at import time and later gets its value from a
+`Settings` object. `load_settings` validates a whole file against all declared items and reports
+all findings (errors) together, each with file, section and key.
 
 Examples
 --------
@@ -30,20 +30,20 @@
 
 @dataclass(frozen=True)
 class Item(Generic[T]):
-    """One setting: where it stands, what it may be, and what it is for.
+    """The declaration of one setting.
 
     Parameters
     ----------
     section, key : str
-        Its place in the INI file.
+        The section and key in the INI file.
     default : str, int, float, bool or tuple of str
-        The value when the file has none; its type is the setting's type.
+        The value if the file does not set the key; its type is the setting's type.
     description : str
         One or two sentences for the sample file and the documentation.
     unit : str, optional
         The unit of a number, e.g. ``s``, ``tokens``, ``bytes``.
     minimum, maximum : float, optional
-        Bounds of a number, both allowed values.
+        Inclusive bounds of a number.
     choices : tuple of str, optional
         The allowed values of a string.
     secret : bool, optional
@@ -65,16 +65,16 @@
 
     @property
     def type_name(self) -> str:
-        """The type's name as the documentation gives it."""
+        """The name of the type in the documentation."""
         return "list" if isinstance(self.default, tuple) else type(self.default).__name__
 
     def parse(self, text: str) -> T:
-        """Turn the text of a file into a value.
+        """Parse the text of a value.
 
         Raises
         ------
         ValueError
-            If the text does not fit; the message says what would.
+            If the text is not valid for this setting; the message says what is allowed.
         """
         value = self._convert(text.strip())
         self._check_bounds(value)
@@ -99,19 +99,19 @@
 
     def _check_bounds(self, value: T) -> None:
         if self.choices and value not in self.choices:
-            raise ValueError(f"{value!r} is not one of {', '.join(self.choices)}")
+            raise ValueError(f"{value!r} must be one of {', '.join(self.choices)}")
         if isinstance(value, bool) or not isinstance(value, int | float):
             return
         if value != value or value in (float("inf"), float("-inf")):
             raise ValueError(f"{value} is not a finite number")
         if self.minimum is not None and value < self.minimum:
-            raise ValueError(f"{value} is below the least allowed, {self.minimum} {self.unit}")
+            raise ValueError(f"{value} is less than the minimum, {self.minimum} {self.unit}")
         if self.maximum is not None and value > self.maximum:
-            raise ValueError(f"{value} is above the most allowed, {self.maximum} {self.unit}")
+            raise ValueError(f"{value} is greater than the maximum, {self.maximum} {self.unit}")
 
 
 class Settings:
-    """Checked values of all settings; what a file leaves out has its default.
+    """The validated values of all settings; settings that are not given have their defaults.
 
     Parameters
     ----------
@@ -143,12 +143,12 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     ConfigError
-        With every finding of the file, if there is any.
+        If the file is not valid; holds all findings.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -158,7 +158,13 @@
 
 
 def parse_settings(text: str, name: str = "settings") -> Settings:
-    """Check the text of a settings file; `name` stands in the findings' places."""
+    """Validate the text of a settings file; findings refer to it as `name`.
+
+    Raises
+    ------
+    ConfigError
+        If the text is not valid; holds all findings.
+    """
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text, name)
@@ -184,6 +190,6 @@
 
 def _unknown_key_message(section: str, key: str) -> str:
     names = [f"[{known_section}] {known_key}" for known_section, known_key in _items]
-    near = difflib.get_close_matches(f"[{section}] {key}", names, n=1)
-    hint = f"; did you mean {near[0]}?" if near else ""
-    return f"there is no such setting{hint}"
+    similar = difflib.get_close_matches(f"[{section}] {key}", names, n=1)
+    hint = f"; did you mean {similar[0]}?" if similar else ""
+    return f"unknown setting{hint}"
--- a/gladedrum/config/identity.py
+++ b/gladedrum/config/identity.py
@@ -1,4 +1,4 @@
-"""The settings that say which box this is; read by all parts of a box."""
+"""The settings that identify a box; used by all parts of a box."""
 
 from .core import Item
 
--- a/gladedrum/config/operator_token.py
+++ b/gladedrum/config/operator_token.py
@@ -1,4 +1,4 @@
-"""The setting that says who may edit the table of weights and limits, and lift a refusal."""
+"""The token that operators need to edit the table of weights and limits, or to lift a refusal."""
 
 import hmac
 
@@ -15,9 +15,9 @@
 
 
 def bears_token(authorization: str | None, token: str) -> bool:
-    """Whether a request's ``Authorization`` header holds the operators' token; an empty one never.
+    """Whether an ``Authorization`` header holds the operators' token; False if `token` is empty.
 
-    The comparison takes as long for a nearly right one as for any other.
+    The comparison takes constant time, to prevent timing attacks.
     """
     given = (authorization or "").removeprefix("Bearer ")
     return bool(token) and hmac.compare_digest(given.encode(), token.encode())
--- a/gladedrum/config/render.py
+++ b/gladedrum/config/render.py
@@ -1,4 +1,4 @@
-"""The sample settings file and the documentation page, made from the declared items."""
+"""The sample settings file and the documentation page, generated from the declared items."""
 
 import itertools
 
@@ -8,7 +8,7 @@
 
 
 def render_sample() -> str:
-    """Return an INI file in which every setting stands with its default, commented out."""
+    """Return an INI file that lists every setting with its default, commented out."""
     lines = ["# Every setting of gladedrumd with its default. Uncomment what you change."]
     for section, items in itertools.groupby(declared_items(), key=lambda item: item.section):
         lines += ["", f"[{section}]"]
--- a/gladedrum/fleet/__init__.py
+++ b/gladedrum/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""What is known of targets and boxes, as plain values."""
+"""Types of the entries and reports of targets."""
 
 from .core import *
 from .core import __all__ as _core_all
--- a/gladedrum/fleet/core.py
+++ b/gladedrum/fleet/core.py
@@ -1,4 +1,4 @@
-"""Entries of the list of targets, and targets' reports on themselves."""
+"""Entries of the list of targets, and the targets' reports on their load."""
 
 from typing import NamedTuple
 
@@ -6,24 +6,24 @@
 
 
 class TargetEntry(NamedTuple):
-    """A target as the platform lists it.
+    """A target in the platform's list.
 
     Parameters
     ----------
     name : str
-        Unique among the targets. A target that starts again may keep it; see `born`.
+        Unique among the targets. A restarted target may keep its name; see `born`.
     service : str
         The service that it belongs to.
     host, port : str, int
-        Where it listens. The address may pass to another target after it ends.
+        The address on which it listens. After the target ends, another one may get the address.
     data_hall : str
-        Where it stands.
+        The data hall in which it stands.
     slots : int
-        Requests that it works on at once.
+        The number of requests that it processes at once.
     leaving : bool
         Whether it must get no new requests.
     born : int
-        Tells the starts of one target apart: larger for a later one; 0 if it does not say.
+        Distinguishes the starts of a target: larger for a later start; 0 if unknown.
     """
 
     name: str
@@ -37,18 +37,18 @@
 
 
 class TargetReport(NamedTuple):
-    """What a target says of its load; some hundred milliseconds old when it is given.
+    """A target's report on its load; already some hundred milliseconds old when it is returned.
 
     Parameters
     ----------
     waiting, running : int
-        Requests in its queue and at work.
+        The number of requests in its queue, and of those being processed.
     memory_used, memory_tokens : int
-        Memory that can't give way, and all of it, in tokens.
+        The memory that cannot be freed, and the total memory, in tokens.
     pace : float
-        Over 1 if the target is slower than its service's figures.
+        The target's processing times relative to its service's figures; above 1 if it is slower.
     reservations : tuple of str
-        Ids of the memory set aside.
+        The ids of its reservations of memory.
     born : int
         As in `TargetEntry`.
     """
--- a/gladedrum/routes/__init__.py
+++ b/gladedrum/routes/__init__.py
@@ -1,6 +1,6 @@
 """The operators' configuration in force: routes, services, organisations and limits.
 
-It is decoded by the platform adapter and never changed afterwards; a new one replaces it whole.
+The platform adapter decodes it. A configuration is immutable; a newer version replaces it.
 """
 
 from .core import *
--- a/gladedrum/routes/core.py
+++ b/gladedrum/routes/core.py
@@ -1,4 +1,4 @@
-"""Types of the operators' configuration, and the look-ups that each request needs.
+"""Types of the operators' configuration, and the lookup of a request's route.
 
 Examples
 --------
@@ -26,7 +26,7 @@
 
 
 class ServiceShare(NamedTuple):
-    """A service that a route leads to, and its share of the route's requests (any scale)."""
+    """A service of a route; it gets requests in proportion to its weight."""
 
     service: str
     weight: float
@@ -34,30 +34,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and what they may cost.
+    """Which requests go to which services, and their limits and objectives.
 
     Parameters
     ----------
-    name, host, path_prefix : str
-        Its name, and what it is chosen by; the prefix begins and ends with a slash.
+    name : str
+        The route's name.
+    host, path_prefix : str
+        The host and the start of the path of its requests; the prefix begins and ends with a
+        slash.
     services : tuple of ServiceShare
-        Where its requests go.
+        The services to which its requests go.
     repeatable : bool
         Whether a request may run more than once.
     streaming : bool
         Whether the answer is a series of events.
     resumable : bool
-        Whether another target may continue a stream after an event id.
+        Whether another target may resume a stream after a given event id.
     time_limit_s : float
-        The longest that a request may be held, in seconds.
+        The maximum time that a request may be held, in seconds.
     objective_s : float
-        The time to the answer, or to its first event, that is aimed at, in seconds.
+        The objective for the time to the answer, or to its first event, in seconds.
     pause_objective_s : float
-        The longest pause between two events that is aimed at, in seconds.
+        The objective for the longest pause between two events, in seconds.
     rank : int
-        0 is the most urgent.
+        The priority; 0 is the most urgent.
     max_targets : int
-        The most targets that may run one request.
+        The maximum number of targets that may run one request.
     anonymous : bool
         Whether a request needs no API key.
     """
@@ -78,20 +81,20 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be sent again if it may have run already."""
         return self.resumable if self.streaming else self.repeatable
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What is known of a service as a whole.
+    """Properties that all targets of a service share.
 
     Parameters
     ----------
     name : str
-        Its name.
+        The service's name.
     engine : EngineTraits or None
-        The figures of its model engines, None for a plain service.
+        The performance figures of its model engines; None if it has no model engines.
     """
 
     name: str
@@ -99,7 +102,7 @@
 
 
 class Organisation(NamedTuple):
-    """A holder of API keys; its rank, if it has one, goes before a route's."""
+    """A customer with API keys; its rank, if any, takes precedence over a route's."""
 
     name: str
     rank: int | None
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send and how long it may take or rest."""
+    """Limits on the sizes of a caller's requests, and on the time to send them or to stay idle."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -122,15 +125,15 @@
     Parameters
     ----------
     version : int
-        Rises with each version, in uneven steps.
+        Increases with each version, not always by one.
     routes : tuple of Route
-        In no particular order.
+        All routes, in no particular order.
     services : dict of str to Service
-        By name.
+        The services, by name.
     organisations : dict of str to Organisation
-        By API key.
+        The organisations, by API key.
     limits : CallerLimits
-        Bounds on callers.
+        Limits on callers.
     """
 
     version: int
@@ -138,19 +141,27 @@
     services: dict[str, Service] = field(default_factory=dict)
     organisations: dict[str, Organisation] = field(default_factory=dict)
     limits: CallerLimits = CallerLimits()
-    _by_place: dict[tuple[str, str], Route] = field(init=False, repr=False, compare=False)
+    _by_prefix: dict[tuple[str, str], Route] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        by_place = {(route.host.lower(), route.path_prefix): route for route in self.routes}
-        object.__setattr__(self, "_by_place", by_place)
+        by_prefix = {(route.host.lower(), route.path_prefix): route for route in self.routes}
+        object.__setattr__(self, "_by_prefix", by_prefix)
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix of a request's path, None if there is none."""
+        """Return the route of a request: that with the longest matching prefix, or None.
+
+        Parameters
+        ----------
+        host : str
+            The request's ``Host``, with or without a port.
+        target : str
+            The request target: path and query.
+        """
         name = host.rsplit(":", 1)[0].lower()
         path = target.split("?", 1)[0]
         end = path.rfind("/")
         while end >= 0:
-            route = self._by_place.get((name, path[: end + 1]))
+            route = self._by_prefix.get((name, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
