--- a/gladedrum/peers/membership.py
+++ b/gladedrum/peers/membership.py
@@ -132,7 +132,7 @@
             return self.me
         return next((b for b in self.directory.boxes if b.name == name), None)
 
-    def last_row(self, name: str) -> Box | None:
+    def last_known_box(self, name: str) -> Box | None:
         """Return the entry of a box; for a box that has left the list, its last entry."""
         return self.box(name) or self._unlisted.get(name)
 
--- a/gladedrum/peers/ownership.py
+++ b/gladedrum/peers/ownership.py
@@ -155,7 +155,7 @@
         if_lost = None
         if self._membership.directory_read and self._membership.box(box) is None:
             if_lost = []
-        row = self._membership.last_row(box)
+        row = self._membership.last_known_box(box)
         if row is None:
             return if_lost
         try:
--- a/gladedrum/table/spread.py
+++ b/gladedrum/table/spread.py
@@ -1,4 +1,4 @@
-"""The table in force on a box, and its distribution to all boxes.
+"""The table in force on a box, and its replication to all boxes.
 
 A few boxes of each data hall (the watchers) read the table from the key-value service and watch
 it. All other boxes regularly pull it from a watcher or another peer. A box accepts only newer
