--- a/gladedrum/table/follow.py
+++ b/gladedrum/table/follow.py
@@ -123,13 +123,13 @@
 
     async def _watch(self, revision: Revision) -> None:
         """Wait for a change of the table, the timeout, or a restore of the store from a copy."""
-        self._pending_watch = watch = start(self._kv.watch(HEAD_KEY, revision, WATCH_TIMEOUT_S))
+        self._pending_watch = pending = start(self._kv.watch(HEAD_KEY, revision, WATCH_TIMEOUT_S))
         try:
-            await watch
+            await pending
         except defer.CancelledError:
             # `note_era` clears the attribute before it cancels; other cancellations end the task.
-            if self._pending_watch is watch:
+            if self._pending_watch is pending:
                 raise
         finally:
-            if self._pending_watch is watch:
+            if self._pending_watch is pending:
                 self._pending_watch = None
--- a/gladedrum/table/store.py
+++ b/gladedrum/table/store.py
@@ -48,7 +48,7 @@
 """The length at which a head is compacted."""
 
 _KEPT_HEAD_EDITS = 50
-"""The newest edits that stay in a compacted head, for conflict checks and updates of peers."""
+"""How many of the newest edits stay in a compacted head, for conflict checks and peers."""
 
 _MAX_SWAP_ATTEMPTS = 20
 
@@ -144,12 +144,12 @@
         if row is None:
             return TableNews(Table(era=era), Head(), listing.revision)
         head = _decode_head(row.value)
-        can_extend = known.era == era and _continues(head, known, known_edits)
+        can_extend = known.era == era and _is_extended_by(known, known_edits, head)
         base = known if can_extend else replace(await self._snapshot(head.base), era=era)
         return TableNews(apply_edits(base, head.edits), head, listing.revision)
 
     async def restore_lost_edits(self, accepted: Sequence[Edit]) -> int:
-        """Write the accepted edits that the stored table has lost again; return how many.
+        """Append accepted edits that the stored table has lost to its head; return how many.
 
         Several boxes may do so at once: edits are identified by their ids, so each one is
         restored only once.
@@ -271,7 +271,7 @@
     return _decode_edits(value)[::-1]
 
 
-def _continues(head: Head, known: Table, known_edits: Sequence[Edit]) -> bool:
+def _is_extended_by(known: Table, known_edits: Sequence[Edit], head: Head) -> bool:
     """Whether a head's edits continue from a table, not from another one of the same revision."""
     if known.revision < head.base:
         return False
