--- a/conftest.py
+++ b/conftest.py
@@ -1,6 +1,7 @@
-"""Tests that are known to fail: `KNOWN-RED.txt` lists them, a line each: test, cause, issue.
+"""Marks the tests listed in `KNOWN-RED.txt` as expected failures.
 
-A listed test must fail; one that passes fails the run, since its line is to go with the mend.
+Each line of the list is: test id, cause, issue. A listed test that passes fails the run, so that
+its line is removed together with the fix.
 """
 
 from pathlib import Path
@@ -8,14 +9,14 @@
 
 import pytest
 
-MOST_KNOWN = 3
-"""The most tests that may be listed."""
+MAX_KNOWN_RED = 3
+"""Maximum number of listed tests."""
 
 _LIST = Path(__file__).parent / "KNOWN-RED.txt"
 
 
 class KnownRed(NamedTuple):
-    """A line of the list: a test's id, why it fails, and the issue that is open for it."""
+    """A line of the list: a test's id, the cause of its failure, and the open issue."""
 
     test: str
     cause: str
@@ -23,16 +24,16 @@
 
 
 def known_red() -> list[KnownRed]:
-    """Return the lines of the list; raises `pytest.UsageError` if one is not as described."""
+    """Return the lines of the list; raises `pytest.UsageError` if the list is malformed."""
     lines = _LIST.read_text().splitlines() if _LIST.exists() else []
     rows = [line.split(", ") for line in lines if line.strip()]
-    if any(len(row) < 3 for row in rows) or len(rows) > MOST_KNOWN:
-        raise pytest.UsageError(f"{_LIST}: at most {MOST_KNOWN} lines of: test, cause, issue")
+    if any(len(row) < 3 for row in rows) or len(rows) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{_LIST}: at most {MAX_KNOWN_RED} lines of: test, cause, issue")
     return [KnownRed(row[0], ", ".join(row[1:-1]), row[-1]) for row in rows]
 
 
 def pytest_collection_modifyitems(items):
-    """Expect the listed tests to fail."""
+    """Mark the listed tests as expected failures."""
     collected = {item.nodeid: item for item in items}
     files = {nodeid.partition("::")[0] for nodeid in collected}
     for known in known_red():
@@ -41,7 +42,7 @@
             reason = f"{known.cause} ({known.issue})"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
         elif known.test.partition("::")[0] in files and not _is_selection(items):
-            raise pytest.UsageError(f"{_LIST}: no test {known.test}; take its line off the list")
+            raise pytest.UsageError(f"{_LIST}: no test {known.test}; remove its line from the list")
 
 
 def _is_selection(items):
@@ -50,6 +51,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print what is known to fail."""
+    """Print the list of known failures."""
     for known in known_red():
         terminalreporter.write_line(f"KNOWN RED: {known.test}: {known.cause} ({known.issue})")
--- a/gladedrum/__init__.py
+++ b/gladedrum/__init__.py
@@ -1,4 +1,4 @@
-"""gladedrum: a serving layer for prompts of very unlike lengths on one shared fleet."""
+"""gladedrum: a serving layer for LLM prompts of very different lengths on one shared fleet."""
 
 __all__ = ["__version__"]
 
--- a/gladedrum/conftest.py
+++ b/gladedrum/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests: properties are tried on the same examples in every run."""
+"""Fixtures and settings of all tests; Hypothesis uses the same examples in every run."""
 
 import pytest
 from hypothesis import settings
@@ -10,7 +10,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_request_outlives_its_test():
-    """End what a test has left at work before the next one begins."""
+def end_remaining_requests():
+    """End the requests that a test has left running."""
     yield
     leave_all()
--- a/gladedrum/daemon/__init__.py
+++ b/gladedrum/daemon/__init__.py
@@ -1,5 +1,5 @@
-"""The daemon: a tree of supervised tasks that together make a box.
+"""The daemon ``gladedrumd``, which runs a box as a tree of supervised tasks.
 
-Its modules are imported by name: a box that forwards starts without those of the OpenAI interface,
-and is back the sooner after a loss of power.
+Import its modules by name: a forwarding box does not load those of the OpenAI interface, which
+shortens its start.
 """
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -1,4 +1,4 @@
-"""A box: all its parts, put together and supervised."""
+"""The box that serves the OpenAI interface: creates its components and supervises them."""
 
 import logging
 
@@ -57,25 +57,25 @@
 __all__ = ["BoxProcess"]
 
 PEER_TIMEOUT_S = 1.0
-"""How long a peer may take to answer about the table, in seconds."""
+"""Timeout of calls to a peer about its table."""
 
 _log = logging.getLogger(__name__)
 
 
 class BoxProcess:
-    """One box.
+    """A box that serves the OpenAI interface.
 
     Parameters
     ----------
     reactor : reactor
-        Where sockets and timers live.
+        Used for all sockets and timers.
     cfg : Settings
         All settings.
 
     Attributes
     ----------
     cannot_start : Deferred
-        Fails with `CannotListenError` if an address cannot be listened on at the start.
+        Fails with `CannotListenError` if a listening socket cannot be opened at the start.
     """
 
     def __init__(self, reactor: IReactorTime, cfg: Settings):
@@ -116,14 +116,14 @@
         self._peer_server = Listener("peers", self._listen_peers, self._cannot_listen)
 
     async def run(self) -> None:
-        """Run all parts until cancelled."""
+        """Run all components until cancelled."""
         try:
             await self._tree().run()
         finally:
             self._traces.shutdown()
 
     def drain(self) -> defer.Deferred[None]:
-        """Take no new work; fires once no request is in flight."""
+        """Stop accepting requests; fires once no request is in flight."""
         _log.info("draining")
         self._draining = True
         self.owners.leave()
@@ -132,11 +132,11 @@
         return ended.addCallback(lambda _none: self._caller_connections.close())
 
     def reload(self, cfg: Settings) -> None:
-        """Say that changed settings take a restart here."""
-        _log.warning("the settings file has changed; it counts from the next start")
+        """Log that changed settings need a restart."""
+        _log.warning("the settings file has changed; restart to apply")
 
     def not_ready(self) -> list[str]:
-        """Return the reasons why callers should not be sent here."""
+        """Return the reasons why the box is not ready for callers; empty if it is."""
         reasons = {
             "the box is draining": self._draining,
             "the list of boxes and targets has not been read": not self.membership.directory_read,
@@ -147,7 +147,7 @@
         return [reason for reason, holds in reasons.items() if holds]
 
     def status(self) -> BoxStatus:
-        """Return what the box knows of itself."""
+        """Return the state of the box, its peers and its targets."""
         me = self.membership.me
         return BoxStatus(
             box=me.name,
@@ -234,7 +234,7 @@
             lambda: self.table.table,
         )
 
-    # Children.
+    # Supervised tasks.
 
     async def _read_directory(self) -> None:
         interval_s = self._cfg.get(DIRECTORY_INTERVAL)
@@ -244,7 +244,7 @@
         try:
             self.membership.update(await self._directory.read())
         except DirectoryUnavailableError as exc:
-            # The last list stays in force; direct evidence corrects it.
+            # Keep the last list; suspicions of boxes that do not answer correct it.
             _log.warning("list of boxes and targets not read", extra={"reason": str(exc)})
 
     def _listen_callers(self):
@@ -274,7 +274,7 @@
         if not self.cannot_start.called:
             self.cannot_start.errback(problem)
 
-    # What the owners of targets need to know.
+    # Lookups for the owners of targets and the operators' interface.
 
     def _find_target(self, name: str) -> Target | None:
         targets = self.membership.directory.targets
@@ -293,7 +293,7 @@
         return await link.call("table_since", revision, timeout_s=PEER_TIMEOUT_S)
 
     async def table_states(self) -> list[TableState]:
-        """Return which revision each listed box has; None for one that gives no answer."""
+        """Return the revision of the table at each listed box; None if a box does not answer."""
         me = self.membership.me.name
         boxes = [b for b in self.membership.directory.boxes if b.name != me]
         asked = [start(self._table_state(box)) for box in boxes]
--- a/gladedrum/daemon/embedded.py
+++ b/gladedrum/daemon/embedded.py
@@ -1,4 +1,4 @@
-"""Stand-ins inside the daemon, so that it can be tried without any platform."""
+"""Stand-ins that run inside the daemon, so that a box works without a platform."""
 
 from typing import NamedTuple
 
@@ -27,7 +27,7 @@
 
 
 class Embedded(NamedTuple):
-    """Running stand-ins, and the settings that point to them."""
+    """Running stand-ins, and the settings with their addresses."""
 
     cfg: Settings
     standins: list
@@ -42,7 +42,7 @@
 
 
 async def start_embedded(cfg: Settings) -> Embedded:
-    """Start the stand-ins on ports that the system chooses."""
+    """Start the stand-ins on free ports."""
     spec = EngineSpec()
     engines = [Engine(spec, (cfg.get(EMBEDDED_MODEL),)) for _ in range(cfg.get(EMBEDDED_ENGINES))]
     engine_ports = [await listen(engine.app, 0) for engine in engines]
--- a/gladedrum/daemon/main.py
+++ b/gladedrum/daemon/main.py
@@ -1,4 +1,8 @@
-"""``gladedrumd``: run a box."""
+"""The ``gladedrumd`` command, which runs a box.
+
+There are two kinds of box: one that forwards requests to targets, and one that serves the OpenAI
+interface. The settings decide which of them runs.
+"""
 
 import argparse
 import gc
@@ -21,8 +25,8 @@
 
 __all__ = ["main"]
 
-SETTINGS_EVERY_S = 2.0
-"""How often the settings file is read again, in seconds: it may change without a signal."""
+SETTINGS_POLL_INTERVAL_S = 2.0
+"""Interval between reads of the settings file: it may change without a signal."""
 
 EXIT_OK, EXIT_FAILED, EXIT_SETTINGS = 0, 1, 2
 
@@ -30,19 +34,19 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a box until it is told to stop.
+    """Run a box until it is stopped.
 
     Returns
     -------
     int
-        0 after a planned stop, 1 if an address could not be listened on, 2 if the settings
-        are wrong.
+        The exit code: 0 after a planned stop, 1 if the box could not start or failed, 2 if the
+        settings are invalid.
     """
     args = _parser().parse_args(argv)
     keep_elapsed_time(reactor)
-    # Settings are declared by the modules that read them, so those are imported first.
-    parts = _forwarding_parts(args) if forwards(args.config) else _openai_parts()
-    # What has been imported by now is never garbage; see `start`.
+    # Importing a module declares its settings, so import the box before loading them.
+    factory = _forwarding_factory(args) if forwards(args.config) else _openai_factory()
+    # Exempt the imported modules from garbage collection: they are never freed.
     gc.freeze()
     gc.enable()
     try:
@@ -52,19 +56,19 @@
             print(finding, file=sys.stderr)
         return EXIT_SETTINGS
     if args.check:
-        print(f"{args.config}: the settings are right")
+        print(f"{args.config}: the settings are valid")
         return EXIT_OK
     configure_logging(cfg, cfg.get(BOX_NAME))
-    run = _Run(cfg, parts, args.config)
+    run = _DaemonRun(cfg, factory, args.config)
     signal.signal(signal.SIGHUP, lambda _number, _frame: reactor.callFromThread(run.reload))
-    return run.until_stopped()
+    return run.run_until_stopped()
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="gladedrumd",
         description="Run a box of the gladedrum serving layer.",
-        epilog="Exit codes: 0 stopped as told, 1 could not start, 2 wrong settings or usage.",
+        epilog="Exit codes: 0 planned stop, 1 could not start, 2 invalid settings or usage.",
     )
     parser.add_argument("--config", required=True, metavar="FILE.ini", help="the settings")
     parser.add_argument("--check", action="store_true", help="only check the settings")
@@ -73,7 +77,7 @@
 
 
 class _Box(Protocol):
-    """What either kind of box offers."""
+    """Interface of both kinds of box."""
 
     cannot_start: defer.Deferred[None]
 
@@ -81,41 +85,41 @@
         """Run until cancelled."""
 
     def drain(self) -> defer.Deferred[None]:
-        """Take no new work; fires when the process may end."""
+        """Stop accepting requests; fires when the process may exit."""
 
     def reload(self, cfg: Settings) -> None:
-        """Take over settings that may have changed."""
+        """Apply changed settings."""
 
 
-class _Parts(NamedTuple):
-    """What differs between the kinds of box.
+class _BoxFactory(NamedTuple):
+    """Functions that prepare and create one kind of box.
 
     Parameters
     ----------
     prepare : callable
-        Starts what the box needs beside it; returns the settings to use.
+        Starts the services that the box needs; returns the settings to use.
     make_box : callable
-        Makes the box from a reactor and settings.
+        Creates the box from a reactor and settings.
     """
 
     prepare: Callable[[Settings], Awaitable[Settings]]
     make_box: Callable[..., _Box]
 
 
-def _forwarding_parts(args: argparse.Namespace) -> _Parts:
-    # Callers that connect during the rest of the imports, about a third of a start, wait in the
-    # kernel's queue in place of being refused. If they waited during all of it, most would be late
-    # who are served in time by another box after a refusal.
+def _forwarding_factory(args: argparse.Namespace) -> _BoxFactory:
+    # Callers that connect during the remaining imports wait in the kernel's backlog instead of
+    # being refused. The socket is not opened earlier: a caller that waits longer is mostly late,
+    # while another box could serve it in time after a refusal.
     early = None if args.check else listen_early(callers_address(args.config))
     from ..forward.box import ForwardingBox
 
     async def prepare(cfg: Settings) -> Settings:
         return cfg
 
-    return _Parts(prepare, lambda reactor, cfg: ForwardingBox(reactor, cfg, early))
+    return _BoxFactory(prepare, lambda reactor, cfg: ForwardingBox(reactor, cfg, early))
 
 
-def _openai_parts() -> _Parts:
+def _openai_factory() -> _BoxFactory:
     from .box import BoxProcess
     from .embedded import EMBEDDED, start_embedded
 
@@ -126,51 +130,54 @@
         reactor.addSystemEventTrigger("during", "shutdown", embedded.stop)
         return embedded.cfg
 
-    return _Parts(prepare, BoxProcess)
+    return _BoxFactory(prepare, BoxProcess)
 
 
-class _Run:
-    """The process's one box, from start to exit code."""
+class _DaemonRun:
+    """Runs the box of this process and determines the exit code."""
 
-    def __init__(self, cfg: Settings, parts: _Parts, path: str):
+    def __init__(self, cfg: Settings, factory: _BoxFactory, path: str):
         self._cfg = cfg
-        self._parts = parts
+        self._factory = factory
         self._path = path
         self._forwards = forwards(path)
         self._box: _Box | None = None
         self._exit_code = EXIT_OK
 
-    def until_stopped(self) -> int:
+    def run_until_stopped(self) -> int:
         reactor.callWhenRunning(lambda: start(self._start()).addErrback(self._fail))
         reactor.run()
         return self._exit_code
 
     async def _start(self) -> None:
-        cfg = await self._parts.prepare(self._cfg)
-        self._box = box = self._parts.make_box(reactor, cfg)
-        watching = task.LoopingCall(self.reload)
-        watching.start(SETTINGS_EVERY_S, now=False).addErrback(self._fail)
+        cfg = await self._factory.prepare(self._cfg)
+        self._box = box = self._factory.make_box(reactor, cfg)
+        polling = task.LoopingCall(self.reload)
+        polling.start(SETTINGS_POLL_INTERVAL_S, now=False).addErrback(self._fail)
         box.cannot_start.addErrback(self._fail)
         running = start(box.run()).addErrback(_swallow_cancelled)
         reactor.addSystemEventTrigger("before", "shutdown", self._stop, box, running)
 
     def reload(self) -> None:
-        """Read the settings file again, after a hang-up signal and now and then without one.
+        """Read the settings file again and apply changes; called on SIGHUP and periodically.
 
-        Whatever is wrong with it, the box goes on with what it has: a failure here would stop it.
+        If the file is invalid, the box keeps its current settings. An exception here would stop
+        the box.
         """
         if self._box is None:
             return
         try:
             cfg = load_settings(self._path)
             if forwards(self._path) != self._forwards:
-                # An empty file, while it is written anew, would put all defaults into force.
-                raise ValueError("the kind of box has changed, which takes a restart")
+                # A file that is being rewritten may be empty, which would apply all defaults.
+                raise ValueError("the kind of box has changed; restart to apply")
             if cfg != self._cfg:
                 self._box.reload(cfg)
                 self._cfg = cfg
         except (ConfigError, ValueError) as exc:
-            _log.error("changed settings are wrong; the old ones stay", extra={"reason": str(exc)})
+            _log.error(
+                "changed settings are invalid; keeping the current ones", extra={"reason": str(exc)}
+            )
 
     def _stop(self, box: _Box, running: defer.Deferred[None]) -> defer.Deferred[None]:
         drained = box.drain()
--- a/gladedrum/daemon/operators.py
+++ b/gladedrum/daemon/operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface: health, readiness, metrics, status."""
+"""HTTP interface for operators: health, readiness, metrics, status and the table."""
 
 import json
 from collections.abc import Callable
@@ -31,7 +31,7 @@
 
 
 class TargetStatus(TypedDict):
-    """What a box knows of a target that it owns."""
+    """The state of a target that the box owns."""
 
     target: str
     running: int
@@ -43,7 +43,7 @@
 
 
 class ListedTarget(TypedDict):
-    """A target as the platform lists it, and who owns it."""
+    """A target in the platform's list, and the box that owns it."""
 
     name: str
     kind: str
@@ -52,7 +52,7 @@
 
 
 class BoxStatus(TypedDict):
-    """What a box tells of itself."""
+    """The state of a box, as ``/status`` returns it."""
 
     box: str
     data_hall: str
@@ -67,18 +67,18 @@
 
 
 class OperatorSite:
-    """The routes that operators use.
+    """HTTP routes for operators.
 
     Parameters
     ----------
     metrics : Metrics
-        What ``/metrics`` shows.
+        Metrics that ``/metrics`` returns.
     not_ready : callable
         Returns the reasons why the box is not ready; empty if it is.
     status : callable
         Returns the box's status.
     table : IResource
-        What is served below ``/table``.
+        The resource served below ``/table``.
     """
 
     app = Klein()
@@ -97,12 +97,12 @@
 
     @app.route("/healthz", methods=["GET"])
     def healthz(self, request: Request) -> bytes:
-        """Answer that the process works."""
+        """Answer that the process is alive."""
         return _json(request, {"status": "ok"})
 
     @app.route("/readyz", methods=["GET"])
     def readyz(self, request: Request) -> bytes:
-        """Answer whether callers should be sent here, and if not, why."""
+        """Answer whether the box is ready for callers; if not, with the reasons."""
         reasons = self._not_ready()
         if reasons:
             request.setResponseCode(503)
@@ -110,18 +110,18 @@
 
     @app.route("/metrics", methods=["GET"])
     def metrics(self, request: Request) -> bytes:
-        """Show all metrics in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         request.setHeader(b"content-type", CONTENT_TYPE_LATEST.encode())
         return generate_latest(self._metrics.registry)
 
     @app.route("/table", branch=True)
     def table(self, request: Request) -> IResource:
-        """Hand over to the table's own routes."""
+        """Delegate to the routes of the table."""
         return self._table
 
     @app.route("/status", methods=["GET"])
     def status(self, request: Request) -> bytes:
-        """Show what the box knows of itself, its peers and its targets."""
+        """Return the state of the box, its peers and its targets."""
         return _json(request, self._status())
 
 
--- a/gladedrum/daemon/start.py
+++ b/gladedrum/daemon/start.py
@@ -1,7 +1,7 @@
-"""The entry of ``gladedrumd``: imports the daemon without collecting garbage meanwhile.
+"""Entry point of ``gladedrumd``, which imports the daemon with garbage collection disabled.
 
-What is imported stays for the life of the process, so looking through it for garbage only delays
-the start, by about a sixth of it.
+Imported modules stay for the life of the process, so collecting during the imports only delays the
+start.
 """
 
 import gc
@@ -12,10 +12,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a box until it is told to stop; see `gladedrum.daemon.main.main`."""
+    """Run a box until it is stopped; see `gladedrum.daemon.main.main`."""
     gc.disable()
-    # Its default action ends the process. The settings are read after this, and again every 2 s,
-    # so nothing is missed until the box has its own handler.
+    # The default action of SIGHUP ends the process. No change of settings is missed before the box
+    # installs its own handler: the settings are read later, and polled.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from .main import main as run
 
--- a/gladedrum/daemon/tests/test_clock.py
+++ b/gladedrum/daemon/tests/test_clock.py
@@ -1,12 +1,7 @@
-"""By which clock a box keeps its ages, leases and timers.
+"""The clock of ages, leases and timers counts suspended time and ignores steps of the wall clock.
 
-Seen: days on which the time of day of the boxes is stepped and back serve less, at their worst
-moments by far. Cause: the reactor's clock is the time of day, though the pages say that ages are on
-the monotonic one; a step is taken for time that has passed, or holds all timers still. The
-monotonic clock would be wrong, too: it stands still while a machine is suspended, and a key that
-was taken away meanwhile would go on working.
-
-The three clocks move apart here; the reactor is one of its own that the process's entry sets up.
+A step of the wall clock must not make timers early or late. The monotonic clock does not count
+suspension, so a revoked key would stay valid after it.
 """
 
 import time
@@ -26,7 +21,7 @@
 
 
 class Clocks:
-    """The machine's three clocks, moved by hand; all in seconds."""
+    """Fakes of the system's three clocks, in seconds, advanced by the test."""
 
     def __init__(self):
         self.now_s = {
@@ -38,7 +33,7 @@
     def read(self, clock_id):
         return self.now_s[clock_id]
 
-    def pass_by(self, seconds, suspended=False):
+    def advance(self, seconds, suspended=False):
         for clock_id in self.now_s:
             if not (suspended and clock_id == time.CLOCK_MONOTONIC):
                 self.now_s[clock_id] += seconds
@@ -49,49 +44,49 @@
 
 @pytest.fixture
 def clocks(monkeypatch):
-    found = Clocks()
-    monkeypatch.setattr(time, "clock_gettime", found.read)
-    monkeypatch.setattr(time, "time", lambda: found.read(time.CLOCK_REALTIME))
-    monkeypatch.setattr(time, "monotonic", lambda: found.read(time.CLOCK_MONOTONIC))
-    return found
+    fake = Clocks()
+    monkeypatch.setattr(time, "clock_gettime", fake.read)
+    monkeypatch.setattr(time, "time", lambda: fake.read(time.CLOCK_REALTIME))
+    monkeypatch.setattr(time, "monotonic", lambda: fake.read(time.CLOCK_MONOTONIC))
+    return fake
 
 
 @pytest.fixture
 def reactor(clocks, monkeypatch, tmp_path):
-    """A reactor as the daemon's entry leaves it."""
-    made = SelectReactor()
-    made.seconds = lambda: clocks.read(time.CLOCK_REALTIME)
-    monkeypatch.setattr(daemon, "reactor", made)
+    """A reactor set up by the daemon's `main`."""
+    own_reactor = SelectReactor()
+    own_reactor.seconds = lambda: clocks.read(time.CLOCK_REALTIME)
+    monkeypatch.setattr(daemon, "reactor", own_reactor)
     path = tmp_path / "box.ini"
     path.write_text("[forward]\nenabled = yes\n")
     assert daemon.main(["--config", str(path), "--check"]) == daemon.EXIT_OK
-    return made
+    return own_reactor
 
 
-def test_a_timer_is_neither_early_nor_late_after_a_step_of_the_time_of_day(reactor, clocks):
+def test_timers_ignore_steps_of_the_wall_clock(reactor, clocks):
     for step_s in STEPS_S:
         fired = []
         reactor.callLater(5.0, fired.append, True)
         clocks.step(step_s)
-        clocks.pass_by(4.9)
+        clocks.advance(4.9)
         reactor.runUntilCurrent()
         assert not fired
-        clocks.pass_by(0.2)
+        clocks.advance(0.2)
         reactor.runUntilCurrent()
         assert fired
 
 
-def test_ages_do_not_follow_the_time_of_day(reactor, clocks):
+def test_ages_ignore_steps_of_the_wall_clock(reactor, clocks):
     for step_s in STEPS_S:
         configuration = ConfigurationKeeper(reactor, NoFeed(), 2.0, None)
         configuration._vouch(reactor.seconds())
         clocks.step(step_s)
-        clocks.pass_by(1.0)
+        clocks.advance(1.0)
         assert configuration.age_s == pytest.approx(1.0)
 
 
-def test_time_in_which_the_machine_was_suspended_counts(reactor, clocks):
-    """A key may have been taken away, a target may have left, a deadline may have passed."""
+def test_suspended_time_counts(reactor, clocks):
+    """Meanwhile a key may be revoked, a target may leave and a deadline may pass."""
     configuration = ConfigurationKeeper(reactor, NoFeed(), 2.0, None)
     configuration._apply(RouteTable(1))
     configuration._vouch(reactor.seconds())
@@ -100,7 +95,7 @@
     admission = Admission(configuration, KEY_BOUND_S, keys_expire=True)
     late = []
     reactor.callLater(8.0, late.append, True)
-    clocks.pass_by(10.0, suspended=True)
+    clocks.advance(10.0, suspended=True)
     clocks.step(-10.0)
     reactor.runUntilCurrent()
     assert not admission.keys_are_vouched_for
--- a/gladedrum/daemon/tests/test_listening.py
+++ b/gladedrum/daemon/tests/test_listening.py
@@ -1,4 +1,4 @@
-"""The callers' socket of a forwarding box listens before all of the daemon is imported."""
+"""A forwarding box opens the callers' socket before the whole daemon is imported."""
 
 import socket
 
@@ -6,7 +6,7 @@
 from gladedrum.utils.listening import listen_early
 
 
-def test_a_caller_that_connects_before_the_box_runs_waits_for_it():
+def test_caller_that_connects_before_the_box_runs_waits():
     listening = listen_early(("127.0.0.1", 0))
     with listening, socket.create_connection(listening.getsockname(), timeout=5) as caller:
         caller.sendall(b"GET / HTTP/1.1\r\n")
@@ -16,15 +16,15 @@
             assert accepted.recv(100) == b"GET / HTTP/1.1\r\n"
 
 
-def test_an_address_that_cannot_be_listened_on_is_left_to_the_daemon_to_report():
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        assert listen_early(taken.getsockname()) is None
+def test_unusable_address_is_left_for_the_daemon_to_report():
+    with socket.socket() as used:
+        used.bind(("127.0.0.1", 0))
+        used.listen()
+        assert listen_early(used.getsockname()) is None
     assert listen_early(None) is None
 
 
-def test_the_address_is_read_from_the_settings_file(tmp_path):
+def test_address_is_read_from_the_settings_file(tmp_path):
     path = tmp_path / "box.ini"
     path.write_text("[forward]\ncallers = 127.0.0.1:81\n")
     assert callers_address(str(path)) == ("127.0.0.1", 81)
--- a/gladedrum/daemon/tests/test_reload.py
+++ b/gladedrum/daemon/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""A change of the settings file that can't be used leaves a running box as it is."""
+"""An invalid settings file does not affect a running box."""
 
 import gc
 import signal
@@ -13,7 +13,7 @@
 
 
 class _Box:
-    """Takes settings over as a forwarding box does."""
+    """Applies settings as a forwarding box does."""
 
     def __init__(self):
         self.callers = []
@@ -23,24 +23,24 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", ["", GOOD[: GOOD.index(".1:81")], GOOD + "no settings", GOOD + "nonsense = 1"]
+    "invalid", ["", GOOD[: GOOD.index(".1:81")], GOOD + "no settings", GOOD + "nonsense = 1"]
 )
-def test_settings_that_are_wrong_or_half_written_do_not_end_the_box(tmp_path, wrong):
-    """An address that was cut short passed the first check; the box ended on the second. An empty
-    file, as there is while it is written anew, put all defaults into force."""
+def test_invalid_or_partial_settings_do_not_stop_the_box(tmp_path, invalid):
+    """Guards against a truncated address, which is found only while it is applied, and against an
+    empty file, which applied all defaults."""
     path = tmp_path / "box.ini"
     path.write_text(GOOD)
-    run = daemon._Run(daemon.load_settings(path), None, str(path))
+    run = daemon._DaemonRun(daemon.load_settings(path), None, str(path))
     run._box = box = _Box()
-    path.write_text(wrong)
+    path.write_text(invalid)
     run.reload()
     path.write_text(GOOD.replace("81", "82"))
     run.reload()
     assert box.callers == [("127.0.0.1", 82)]
 
 
-def test_a_hang_up_signal_does_not_end_a_box_that_still_starts(monkeypatch):
-    """Until the box had its handler, the signal ended it, with the callers that waited."""
+def test_sighup_during_the_start_does_not_stop_the_box(monkeypatch):
+    """Guards against SIGHUP ending the process before its handler is installed."""
     handlers = []
     monkeypatch.setattr(daemon, "main", lambda _argv: handlers.append(_handler()) or 0)
     before = _handler()
--- a/gladedrum/daemon/tests/test_supervisor.py
+++ b/gladedrum/daemon/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""A child that fails is started again, after a pause; stopping stops all."""
+"""The supervisor restarts a failed child after a backoff; cancelling it stops all children."""
 
 import random
 
@@ -22,7 +22,7 @@
             self.stops += 1
 
 
-def test_a_failed_child_is_started_again_and_the_others_go_on():
+def test_failed_child_is_restarted_and_the_others_continue():
     clock, restarts = task.Clock(), []
     flaky, steady = _Flaky(3), _Flaky(0)
     children = [Child("flaky", flaky.run), Child("steady", steady.run)]
--- a/gladedrum/errors.py
+++ b/gladedrum/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions that gladedrum raises, in one place."""
+"""Exceptions that gladedrum raises."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -19,17 +19,17 @@
 
 
 class GladedrumError(Exception):
-    """Base class of every exception that this package raises on purpose."""
+    """Base class of all exceptions that gladedrum raises."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong in something that was checked, and where.
+    """A problem found in settings or a request.
 
     Parameters
     ----------
     place : str
-        Where it is, e.g. ``box.ini [entry] port`` or ``prompt``.
+        Where the problem is, e.g. ``box.ini [entry] port`` or ``prompt``.
     message : str
         What is wrong and what to do about it.
     """
@@ -42,7 +42,7 @@
 
 
 class ConfigError(GladedrumError):
-    """The settings cannot be used; `findings` holds every reason at once."""
+    """The settings are invalid; `findings` holds all problems."""
 
     def __init__(self, findings: Sequence[Finding]):
         self.findings = tuple(findings)
@@ -50,30 +50,30 @@
 
 
 class KVUnavailableError(GladedrumError):
-    """The key-value service did not take the call; nothing was changed."""
+    """The key-value service did not accept the call; nothing was changed."""
 
 
 class KVUnknownError(GladedrumError):
-    """No answer came from the key-value service; a write may have taken effect."""
+    """The key-value service did not answer; a write may have taken effect."""
 
 
 class KVConflictError(GladedrumError):
-    """A compare-and-swap found another revision than the one expected."""
+    """A compare-and-swap found a different revision than expected."""
 
 
 class TargetUnreachableError(GladedrumError):
-    """No connection to the target could be made, so no byte of the request reached it."""
+    """The connection to the target could not be opened, so nothing was sent."""
 
 
 class TargetRefusedError(GladedrumError):
-    """The target vouches that it did not start the request.
+    """The target refused the request and did not start it.
 
     Parameters
     ----------
     message : str
-        What the target said.
+        The reason that the target gave.
     status : int
-        The HTTP status it gave.
+        The HTTP status of its answer.
     """
 
     def __init__(self, message: str, status: int):
@@ -82,12 +82,12 @@
 
 
 class TargetBrokenError(GladedrumError):
-    """The connection to the target broke, or its answer does not fit the request."""
+    """The connection to the target broke, or its answer does not match the request."""
 
 
 class TargetLeftAloneError(TargetBrokenError):
-    """The target has asked not to get this; nothing was sent."""
+    """The target has asked for a backoff, so nothing was sent."""
 
 
 class TargetNotListeningError(TargetBrokenError):
-    """The target's address refuses connections: no process listens there."""
+    """The target's address refuses connections, so no process listens there."""
--- a/gladedrum/outcome.py
+++ b/gladedrum/outcome.py
@@ -1,7 +1,6 @@
-"""The four ways in which a request can end.
+"""The four outcomes of a request.
 
-An outcome is decided in one place, matched on everywhere, and reads the same in logs,
-metrics, response headers and the last event of a stream.
+An outcome has the same name in logs, metrics, response headers and the last event of a stream.
 
 Examples
 --------
@@ -29,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The whole answer was delivered."""
+    """The complete answer was delivered."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,9 +38,9 @@
     Parameters
     ----------
     reason : str
-        What stood in the way, for a person.
+        Why it did not run, as text for people.
     retry_after_s : float
-        When to come back, in seconds from now.
+        When the caller may retry, in seconds from now.
     status : HTTPStatus
         The HTTP status for the caller, 429 or 503.
     """
@@ -53,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ran and failed, was refused as wrong, or its time is up.
+    """The request ran and failed, was invalid, or exceeded its deadline.
 
     Parameters
     ----------
     reason : str
-        What went wrong, for a person.
+        What went wrong, as text for people.
     status : HTTPStatus
         The HTTP status for the caller.
     """
@@ -69,12 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run; it must not be repeated blindly.
+    """The request may have run, so repeating it may run it twice.
 
     Parameters
     ----------
     reason : str
-        What was lost, for a person.
+        What was lost, as text for people.
     status : HTTPStatus
         The HTTP status for the caller, 502 or 504.
     """
@@ -91,7 +90,7 @@
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the name of an outcome as headers, logs and metrics spell it."""
+    """Return the name of an outcome as used in headers, logs and metrics."""
     match outcome:
         case Completed():
             return "completed"
@@ -104,7 +103,7 @@
 
 
 def http_status(outcome: Outcome) -> int:
-    """Return the HTTP status code that goes with an outcome."""
+    """Return the HTTP status code of an outcome."""
     match outcome:
         case Completed():
             return int(HTTPStatus.OK)
@@ -113,7 +112,7 @@
 
 
 def retry_after_s(outcome: Outcome) -> int | None:
-    """Return the whole seconds for a ``Retry-After`` header, or None if there is none to give."""
+    """Return the ``Retry-After`` value in whole seconds; None if the outcome has none."""
     match outcome:
         case NotRun(retry_after_s=wait_s):
             return max(1, -int(-wait_s // 1))
