--- a/gladedrum/telemetry/__init__.py
+++ b/gladedrum/telemetry/__init__.py
@@ -1,7 +1,6 @@
-"""What a box tells about itself: JSON-lines logs, metrics and traces.
+"""Telemetry of a box: JSON-lines logs, metrics and traces.
 
-`traces` is imported by name: its library takes a good part of a start, and only boxes that make
-spans need it.
+Import `traces` by name: OpenTelemetry is slow to import, and only boxes that make spans need it.
 """
 
 from .logs import *
--- a/gladedrum/telemetry/logs.py
+++ b/gladedrum/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""JSON-lines logs on standard output, one object a line."""
+"""Logs on standard output as JSON lines."""
 
 import atexit
 import json
@@ -14,7 +14,7 @@
 
 from ..config import Item, Settings
 
-__all__ = ["LOG_LEVEL", "BoundedLines", "configure_logging", "request_logger"]
+__all__ = ["LOG_LEVEL", "BoundedLineStream", "configure_logging", "request_logger"]
 
 LOG_LEVEL = Item(
     "logging",
@@ -27,57 +27,59 @@
 _FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
 _RENAMED = {"asctime": "time", "levelname": "level", "name": "logger"}
 
-
-MOST_WAITING_LINES = 2000
-"""Lines that wait for a slow reader, about half a megabyte; more are dropped and counted."""
+MAX_BUFFERED_LINES = 2000
+"""Maximum number of lines buffered for a slow reader; further lines are dropped and counted."""
 
 _PIPE_BYTES = 4096
-"""What a pipe that is ready takes at once without blocking, in bytes (POSIX's PIPE_BUF)."""
+"""Bytes that a writable pipe accepts without blocking: PIPE_BUF on Linux."""
+
 
+class BoundedLineStream:
+    """A text stream that writes to a file descriptor without blocking.
 
-class BoundedLines:
-    """A text stream onto a file descriptor that never blocks and holds a bounded number of lines.
+    Lines that the reader does not accept yet are buffered; when the buffer is full, further lines
+    are dropped and their number is logged.
 
     Parameters
     ----------
     fd : int
-        The descriptor, which is left in its mode, since others may share it.
-    most : int
-        Lines that wait at the most.
+        The file descriptor. It stays in blocking mode, as other processes may share it.
+    max_lines : int
+        Maximum number of buffered lines.
     """
 
-    def __init__(self, fd: int, most: int = MOST_WAITING_LINES):
+    def __init__(self, fd: int, max_lines: int = MAX_BUFFERED_LINES):
         self._fd = fd
-        self._most = most
-        self._waiting: deque[bytes] = deque()
+        self._max_lines = max_lines
+        self._buffer: deque[bytes] = deque()
         self._dropped = 0
         self._poller = select.poll()
         self._poller.register(fd, select.POLLOUT)
         atexit.register(self.flush)
 
     def write(self, text: str) -> None:
-        """Add a line, or drop it if too many wait."""
-        if len(self._waiting) >= self._most:
+        """Add a line to the buffer, or drop it if the buffer is full."""
+        if len(self._buffer) >= self._max_lines:
             self._dropped += 1
             return
         if self._dropped:
             note = {"level": "WARNING", "message": "log lines dropped", "count": self._dropped}
-            self._waiting.append(json.dumps(note).encode() + b"\n")
+            self._buffer.append(json.dumps(note).encode() + b"\n")
             self._dropped = 0
-        self._waiting.append(text.encode("utf-8", "backslashreplace"))
+        self._buffer.append(text.encode("utf-8", "backslashreplace"))
 
     def flush(self) -> None:
-        """Write what the other side takes now."""
-        while self._waiting and self._is_ready():
-            line = self._waiting.popleft()
+        """Write as many buffered lines as the descriptor accepts without blocking."""
+        while self._buffer and self._is_ready():
+            line = self._buffer.popleft()
             try:
                 written = os.write(self._fd, line[:_PIPE_BYTES])
             except OSError:
-                # Nobody reads any more, and there is nowhere to say so.
+                # The reader has closed the pipe, and there is nowhere to report it.
                 self._dropped += 1
                 return
             if written < len(line):
-                self._waiting.appendleft(line[written:])
+                self._buffer.appendleft(line[written:])
 
     def _is_ready(self) -> bool:
         return bool(self._poller.poll(0))
@@ -91,25 +93,25 @@
     cfg : Settings
         Read for `LOG_LEVEL`.
     box : str
-        The name of this process, a field of every line.
+        The name of the box, a field of every line.
     stream : text file, optional
-        Standard output if left out.
+        Defaults to standard output.
     """
-    handler = logging.StreamHandler(stream or BoundedLines(sys.stdout.fileno()))
+    handler = logging.StreamHandler(stream or BoundedLineStream(sys.stdout.fileno()))
     handler.setFormatter(
         JsonFormatter(_FIELDS, rename_fields=_RENAMED, static_fields={"box": box}, timestamp=False)
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(cfg.get(LOG_LEVEL))
-    # Twisted reports each connection at INFO, which would double the lines of a request.
+    # Twisted logs every connection at INFO, which would double the number of lines.
     logging.getLogger("twisted").setLevel(logging.WARNING)
     observer = twisted_log.PythonLoggingObserver("twisted")
     observer.start()
 
 
 def request_logger(logger: logging.Logger, request_id: str) -> logging.LoggerAdapter:
-    """Return a logger that puts `request_id` on every line."""
+    """Return a logger that adds `request_id` to every line."""
     return (
         logging.LoggerAdapter(logger, {"request_id": request_id}, merge_extra=True)
         if (sys.version_info >= (3, 13))
@@ -118,7 +120,7 @@
 
 
 class _MergingAdapter(logging.LoggerAdapter):
-    """A logger adapter that keeps the ``extra`` of the call, as Python 3.13's can."""
+    """A logger adapter that merges the call's ``extra``, as ``merge_extra`` of Python 3.13 does."""
 
     def process(self, msg, kwargs):
         kwargs["extra"] = {**self.extra, **kwargs.get("extra", {})}
--- a/gladedrum/telemetry/metrics.py
+++ b/gladedrum/telemetry/metrics.py
@@ -1,4 +1,7 @@
-"""The metrics of a box, on a registry of its own so that several boxes fit in one process."""
+"""Prometheus metrics of a box.
+
+Each `Metrics` has its own registry, so that several boxes can run in one process.
+"""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
@@ -13,7 +16,7 @@
 
 
 def length_class(prompt_tokens: int) -> str:
-    """Return the prompt-length class by which time to first token is grouped.
+    """Return the prompt-length class, a label of the metrics of requests.
 
     Examples
     --------
@@ -27,7 +30,7 @@
 
 
 class Metrics:
-    """Every metric that a box exports."""
+    """All metrics that a box exports."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry()
--- a/gladedrum/telemetry/tests/test_logs.py
+++ b/gladedrum/telemetry/tests/test_logs.py
@@ -1,30 +1,30 @@
-"""A reader of the logs that stands still neither blocks the process nor fills its memory."""
+"""A stalled reader of the logs neither blocks the process nor fills its memory."""
 
 import contextlib
 import json
 import os
 
-from gladedrum.telemetry.logs import BoundedLines
+from gladedrum.telemetry.logs import BoundedLineStream
 
 
 def line(number):
     return json.dumps({"number": number, "text": "x" * 200}) + "\n"
 
 
-def test_a_full_pipe_neither_blocks_nor_tears_lines_and_what_is_dropped_is_counted():
+def test_full_pipe_neither_blocks_nor_truncates_lines_and_counts_dropped_ones():
     read_end, write_end = os.pipe()
-    stream = BoundedLines(write_end, most=50)
+    stream = BoundedLineStream(write_end, max_lines=50)
     for number in range(2000):
         stream.write(line(number))
         stream.flush()
-    got = b""
+    received = b""
     os.set_blocking(read_end, False)
     for _ in range(100):
         with contextlib.suppress(BlockingIOError):
-            got += os.read(read_end, 65_536)
+            received += os.read(read_end, 65_536)
         stream.write(line(9999))
         stream.flush()
-    rows = [json.loads(row) for row in got.splitlines()[:-1]]
+    rows = [json.loads(row) for row in received.splitlines()[:-1]]
     numbers = [row["number"] for row in rows if "number" in row]
     assert numbers == sorted(numbers)
     dropped = sum(row.get("count", 0) for row in rows)
@@ -32,9 +32,9 @@
     assert len({n for n in numbers if n < 2000}) + dropped >= 2000
 
 
-def test_a_closed_reader_is_no_error():
+def test_closed_reader_is_not_an_error():
     read_end, write_end = os.pipe()
     os.close(read_end)
-    stream = BoundedLines(write_end)
+    stream = BoundedLineStream(write_end)
     stream.write(line(1))
     stream.flush()
--- a/gladedrum/telemetry/traces.py
+++ b/gladedrum/telemetry/traces.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry traces: a span for each hop, carried on in the ``traceparent`` header."""
+"""OpenTelemetry traces: a span for each hop, propagated in the ``traceparent`` header."""
 
 import threading
 from collections.abc import Sequence
@@ -42,7 +42,7 @@
 
 
 class _FileExporter(SpanExporter):
-    """Appends spans to a file, one JSON object a line."""
+    """Appends spans to a file as JSON lines."""
 
     def __init__(self, path: str):
         self._file = open(path, "a", encoding="utf-8")  # noqa: SIM115 - closed in shutdown
@@ -86,7 +86,7 @@
         self.tracer = self._provider.get_tracer("gladedrum")
 
     def shutdown(self) -> None:
-        """Write what is still buffered and stop."""
+        """Export buffered spans and stop."""
         if self._provider is not None:
             self._provider.shutdown()
 
@@ -96,7 +96,7 @@
         case "file":
             return _FileExporter(cfg.get(TRACE_PATH))
         case "otlp":
-            # Imported here because it alone brings in a second HTTP library.
+            # Imported here because it is the only user of another HTTP library.
             from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
 
             return OTLPSpanExporter(endpoint=cfg.get(TRACE_ENDPOINT))
@@ -105,12 +105,12 @@
 
 
 def context_from_header(traceparent: str | None) -> Context:
-    """Return the context that a ``traceparent`` header carries, or an empty one."""
+    """Return the context of a ``traceparent`` header; an empty one without a header."""
     return _propagator.extract({"traceparent": traceparent} if traceparent else {}, Context())
 
 
 def header_of_span(span: Span) -> str:
-    """Return the ``traceparent`` header that carries `span` on, or an empty string."""
+    """Return the ``traceparent`` header that propagates `span`, or an empty string."""
     carrier: dict[str, str] = {}
     _propagator.inject(carrier, set_span_in_context(span, Context()))
     return carrier.get("traceparent", "")
