--- a/gladedrum/daemon/main.py
+++ b/gladedrum/daemon/main.py
@@ -21,7 +21,7 @@
 from ..forward import callers_address, forwards
 from ..telemetry import configure_logging
 from ..utils import keep_elapsed_time, start
-from ..utils.listening import CannotListenError, listen_early
+from ..utils.listening import CannotListenError, open_early_socket
 
 __all__ = ["main"]
 
@@ -110,13 +110,13 @@
     # Callers that connect during the remaining imports wait in the kernel's backlog instead of
     # being refused. The socket is not opened earlier: a caller that waits longer is mostly late,
     # while another box could serve it in time after a refusal.
-    early = None if args.check else listen_early(callers_address(args.config))
+    early_socket = None if args.check else open_early_socket(callers_address(args.config))
     from ..forward.box import ForwardingBox
 
     async def prepare(cfg: Settings) -> Settings:
         return cfg
 
-    return _BoxFactory(prepare, lambda reactor, cfg: ForwardingBox(reactor, cfg, early))
+    return _BoxFactory(prepare, lambda reactor, cfg: ForwardingBox(reactor, cfg, early_socket))
 
 
 def _openai_factory() -> _BoxFactory:
--- a/gladedrum/daemon/tests/test_listening.py
+++ b/gladedrum/daemon/tests/test_listening.py
@@ -3,11 +3,11 @@
 import socket
 
 from gladedrum.forward import callers_address
-from gladedrum.utils.listening import listen_early
+from gladedrum.utils.listening import open_early_socket
 
 
 def test_caller_that_connects_before_the_box_runs_waits():
-    listening = listen_early(("127.0.0.1", 0))
+    listening = open_early_socket(("127.0.0.1", 0))
     with listening, socket.create_connection(listening.getsockname(), timeout=5) as caller:
         caller.sendall(b"GET / HTTP/1.1\r\n")
         listening.setblocking(True)
@@ -20,8 +20,8 @@
     with socket.socket() as used:
         used.bind(("127.0.0.1", 0))
         used.listen()
-        assert listen_early(used.getsockname()) is None
-    assert listen_early(None) is None
+        assert open_early_socket(used.getsockname()) is None
+    assert open_early_socket(None) is None
 
 
 def test_address_is_read_from_the_settings_file(tmp_path):
--- a/gladedrum/utils/__init__.py
+++ b/gladedrum/utils/__init__.py
@@ -1,4 +1,4 @@
-"""Helpers without a subject of their own."""
+"""General helpers: timing, the process's clock, an HTTP client, listening and supervision."""
 
 from .clock import *
 from .clock import __all__ as _clock_all
--- a/gladedrum/utils/clock.py
+++ b/gladedrum/utils/clock.py
@@ -1,4 +1,4 @@
-"""The one clock by which a process keeps its ages, leases and timers."""
+"""The clock of ages, leases and timers: seconds since boot, suspended time included."""
 
 import time
 
@@ -10,21 +10,20 @@
 
 
 def elapsed_s() -> float:
-    """Return the seconds since the machine started, those in which it was suspended included.
+    """Return the seconds since the system booted, including the time it was suspended.
 
-    The time of day may be stepped: an age would be wrong by the step, and all timers would stand
-    still for as long or be due at once. The monotonic clock stands still while the machine is
-    suspended, in which keys are taken away and targets leave. Where the system has no clock that
-    counts that, the monotonic one is read.
+    The wall clock may be stepped, which would make ages wrong and delay timers or fire them all at
+    once. The monotonic clock does not count suspension, while keys may be revoked and targets may
+    leave meanwhile; it is used only on systems without ``CLOCK_BOOTTIME``.
     """
     return time.clock_gettime(_CLOCK)
 
 
 def keep_elapsed_time(reactor: IReactorTime) -> None:
-    """Have a reactor go by this clock; to be called before anything is scheduled on it.
+    """Make a reactor use `elapsed_s` as its clock; call this before scheduling anything on it.
 
-    Twisted's own is the time of day. The wait for the next event is timed by the kernel, on the
-    monotonic clock, so a timer that was due in a suspension fires when the next event wakes the
-    process, half a second later at most in a box: it asks its peers that often.
+    By default, Twisted uses the wall clock. The kernel times the wait for the next event on the
+    monotonic clock, so a timer that came due during a suspension fires with the next event after
+    it. In a box that is within half a second, the interval of its calls to peers.
     """
     reactor.seconds = elapsed_s
--- a/gladedrum/utils/http.py
+++ b/gladedrum/utils/http.py
@@ -1,7 +1,7 @@
-"""The HTTP client that boxes use towards targets and the platform.
+"""HTTP client for calls to targets and the platform.
 
-What matters to the callers of this module is whether a request can have reached the other
-side. `send` therefore raises `NotSentError` only if no connection could be made.
+Its errors tell whether the server may have received the request: `NotSentError` means that no
+connection could be opened, `LostAnswerError` that the request may have taken effect.
 """
 
 import json
@@ -22,22 +22,22 @@
 __all__ = ["JsonReply", "LostAnswerError", "NotSentError", "WebClient"]
 
 _CONNECT_TIMEOUT_S = 2.0
-# Shorter than the idle timeout of common servers, so that a pooled connection is not used
-# just as the other side closes it.
+# Shorter than the idle timeout of common servers, so that no request is sent on a pooled connection
+# while the server closes it.
 _IDLE_CONNECTION_S = 15.0
 _CONNECTIONS_PER_HOST = 64
 
 
 class NotSentError(GladedrumError):
-    """No connection could be made, so no byte of the request left."""
+    """No connection could be opened, so nothing was sent."""
 
 
 class LostAnswerError(GladedrumError):
-    """The request was sent, at least in part, but no whole answer came."""
+    """At least a part of the request was sent, but no complete answer came."""
 
 
 class JsonReply(NamedTuple):
-    """The status and decoded body of an answer, and its headers with names in lower case."""
+    """Status, decoded body and headers of an answer; names of headers are in lower case."""
 
     status: int
     body: Any
@@ -45,12 +45,12 @@
 
 
 class WebClient:
-    """A pool of connections and the calls over it.
+    """An HTTP client with a connection pool.
 
     Parameters
     ----------
     reactor : IReactorTCP and IReactorTime
-        Where connections and timeouts live.
+        Used for connections and timeouts.
     """
 
     def __init__(self, reactor: IReactorTime):
@@ -73,25 +73,25 @@
         headers: Mapping[str, str] | None = None,
         timeout_s: float = 5.0,
     ) -> IResponse:
-        """Send a request and return the response, its body not yet read.
+        """Send a request and return the response before its body is read.
 
         Parameters
         ----------
         method, url : str
-            As in HTTP.
+            HTTP method and URL.
         body : object, optional
-            Sent as JSON, or as it is if it is ``bytes``.
+            Encoded as JSON; ``bytes`` are sent unchanged.
         headers : mapping, optional
-            Further headers.
+            Additional headers.
         timeout_s : float
-            How long the response's head may take, in seconds.
+            Timeout until the head of the response is received.
 
         Raises
         ------
         NotSentError
-            If no connection could be made.
+            If no connection could be opened.
         LostAnswerError
-            If the connection broke or the time was up after that.
+            If the connection broke or the timeout expired after that.
         """
         sent = {"content-type": "application/json", **(headers or {})}
         data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
@@ -116,7 +116,7 @@
         timeout_s: float = 5.0,
         headers: Mapping[str, str] | None = None,
     ) -> JsonReply:
-        """Send a request and return its whole answer, decoded; raises as `send` does."""
+        """Send a request and return its decoded answer; raises the errors of `send`."""
         response = await self.send(method, url, body, headers, timeout_s)
         raw = await self.read(response, timeout_s)
         try:
@@ -128,7 +128,7 @@
             raise LostAnswerError(f"{url}: {exc!r}") from exc
 
     async def read(self, response: IResponse, timeout_s: float) -> bytes:
-        """Return the whole body of a response; raises `LostAnswerError` if it does not come."""
+        """Return the body of a response; raises `LostAnswerError` if it is incomplete."""
         try:
             return await with_timeout(self._reactor, timeout_s, treq.content(response))
         except defer.CancelledError:
--- a/gladedrum/utils/listening.py
+++ b/gladedrum/utils/listening.py
@@ -1,4 +1,4 @@
-"""Supervised listening sockets."""
+"""Listening sockets under supervision."""
 
 import logging
 import socket
@@ -9,29 +9,29 @@
 
 from ..errors import GladedrumError
 
-__all__ = ["BACKLOG", "CannotListenError", "Listener", "listen_early"]
+__all__ = ["BACKLOG", "CannotListenError", "Listener", "open_early_socket"]
 
 BACKLOG = 512
-"""Connections that the kernel holds until they are accepted, for each address listened on."""
+"""Maximum number of connections per socket that wait to be accepted."""
 
 _log = logging.getLogger(__name__)
 
 
 class CannotListenError(GladedrumError):
-    """An address of the settings cannot be listened on."""
+    """A listening socket cannot be opened on an address of the settings."""
 
 
 class Listener:
-    """A child that owns one listening socket.
+    """A supervised task that owns a listening socket.
 
     Parameters
     ----------
     name : str
-        What is served there, for logs.
+        What the socket serves, for logs.
     listen : callable
         Opens the socket.
-    on_cannot : callable
-        Called if the socket cannot be opened the first time.
+    on_first_failure : callable
+        Called if the socket cannot be opened and has not been open before.
 
     Attributes
     ----------
@@ -43,16 +43,16 @@
         self,
         name: str,
         listen: Callable[[], defer.Deferred[IListeningPort]],
-        on_cannot: Callable[[CannotListenError], None],
+        on_first_failure: Callable[[CannotListenError], None],
     ):
         self.name = name
         self.port = 0
         self._listening: IListeningPort | None = None
         self._listen = listen
-        self._on_cannot = on_cannot
+        self._on_first_failure = on_first_failure
 
     def close(self) -> None:
-        """Take no new connections; those that are open go on."""
+        """Stop accepting connections; open ones stay open."""
         if self._listening is not None:
             self._listening.stopListening()
 
@@ -63,7 +63,7 @@
         except error.CannotListenError as exc:
             problem = CannotListenError(f"{self.name}: {exc}")
             if not self.port:
-                self._on_cannot(problem)
+                self._on_first_failure(problem)
             raise problem from exc
         self.port = listening.getHost().port
         _log.info("listening", extra={"what": self.name, "port": self.port})
@@ -73,11 +73,11 @@
             listening.stopListening()
 
 
-def listen_early(address: tuple[str, int] | None) -> socket.socket | None:
-    """Return a listening socket that nobody accepts from yet.
+def open_early_socket(address: tuple[str, int] | None) -> socket.socket | None:
+    """Open a listening socket whose connections are accepted later.
 
-    None if there is no address, or if it cannot be opened: a `Listener` then finds the same and
-    reports it.
+    Returns None without an address, or if the socket cannot be opened: a `Listener` then meets the
+    same error and reports it.
     """
     if address is None:
         return None
--- a/gladedrum/utils/supervisor.py
+++ b/gladedrum/utils/supervisor.py
@@ -1,4 +1,4 @@
-"""Supervision: a task that fails is started again, after a pause that grows."""
+"""Supervision of tasks: a task that fails is restarted after an exponential backoff."""
 
 import logging
 import random
@@ -12,23 +12,24 @@
 
 __all__ = ["Child", "Supervisor"]
 
-_FIRST_PAUSE_S, _LONGEST_PAUSE_S = 0.1, 10.0
-_STEADY_S = 30.0
+_FIRST_BACKOFF_S, _MAX_BACKOFF_S = 0.1, 10.0
+_STABLE_S = 30.0
+"""A child that ran longer than this restarts with the first backoff when it fails."""
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class Child:
-    """A task under supervision.
+    """A supervised task.
 
     Parameters
     ----------
     name : str
         Its name in logs and metrics.
     run : callable
-        Runs it until it is cancelled; it may take and own sockets and state, and gives them
-        back when it ends. If it raises, or returns, it is run again.
+        Runs the task until it is cancelled. It may own sockets and state, which it releases when
+        it ends. If it raises or returns, it is run again.
     """
 
     name: str
@@ -36,20 +37,20 @@
 
 
 class Supervisor:
-    """Runs children, and is itself a child of whoever made it.
+    """Runs children and restarts those that fail; can be a child of another supervisor.
 
     Parameters
     ----------
     name : str
         Its name in logs.
     clock : IReactorTime
-        Where the pauses are waited for.
+        Clock of the backoff.
     children : list of Child
-        Started in this order, stopped in the reverse one.
+        Started in this order and stopped in reverse order.
     on_restart : callable
-        Called with the name of a child that is started again.
+        Called with the name of each child that is restarted.
     rng : random.Random, optional
-        Spreads the pauses.
+        Source of the jitter of the backoff.
     """
 
     def __init__(
@@ -67,8 +68,8 @@
         self._rng = rng or random.Random()
 
     async def run(self) -> None:
-        """Run all children until cancelled; then stop the last one first."""
-        tasks = [start(self._keep(child)) for child in self._children]
+        """Run all children until cancelled, then stop them in reverse order."""
+        tasks = [start(self._run_child(child)) for child in self._children]
         try:
             # The tasks never end by themselves.
             await defer.Deferred()
@@ -77,7 +78,7 @@
                 task.addErrback(lambda _failure: None)
                 task.cancel()
 
-    async def _keep(self, child: Child) -> None:
+    async def _run_child(self, child: Child) -> None:
         failures = 0
         while True:
             started_s = self._clock.seconds()
@@ -88,8 +89,8 @@
                 raise
             except Exception:
                 _log.exception("child failed", extra={"child": child.name})
-            steady = self._clock.seconds() - started_s > _STEADY_S
-            failures = 1 if steady else failures + 1
-            pause_s = backoff_s(failures, _FIRST_PAUSE_S, _LONGEST_PAUSE_S, self._rng)
-            await sleep(self._clock, pause_s)
+            stable = self._clock.seconds() - started_s > _STABLE_S
+            failures = 1 if stable else failures + 1
+            delay_s = backoff_s(failures, _FIRST_BACKOFF_S, _MAX_BACKOFF_S, self._rng)
+            await sleep(self._clock, delay_s)
             self._on_restart(child.name)
--- a/gladedrum/utils/tests/test_timing.py
+++ b/gladedrum/utils/tests/test_timing.py
@@ -1,4 +1,4 @@
-"""Waits end in time, and a cancelled wait is cancelled, whatever it waited for."""
+"""Timeouts expire in time, and a cancelled wait raises `CancelledError`."""
 
 import pytest
 from twisted.internet import defer, task
@@ -12,7 +12,7 @@
     return results
 
 
-def test_the_time_is_up():
+def test_timeout_expires():
     clock = task.Clock()
     results = _result(start(with_timeout(clock, 2.0, defer.Deferred())))
     clock.advance(1.9)
@@ -21,20 +21,20 @@
     assert results[0].check(TimeoutError)
 
 
-def test_a_cancelled_wait_is_cancelled_though_its_subject_fails_otherwise():
-    """An HTTP call that was cancelled looked like a broken connection and was tried again."""
-    subject = defer.Deferred(lambda d: d.errback(ConnectionError("aborted")))
-    waiting = start(with_timeout(task.Clock(), 2.0, subject))
+def test_cancelled_wait_raises_cancelled_error_though_the_awaitable_fails_otherwise():
+    """Guards against a cancelled HTTP call that looks like a broken connection and is retried."""
+    awaited = defer.Deferred(lambda d: d.errback(ConnectionError("aborted")))
+    waiting = start(with_timeout(task.Clock(), 2.0, awaited))
     results = _result(waiting)
     waiting.cancel()
     assert results[0].check(defer.CancelledError)
 
 
 @pytest.mark.parametrize("value", [None, 3])
-def test_a_result_in_time_is_passed_on(value):
+def test_result_before_the_timeout_is_returned(value):
     clock = task.Clock()
-    subject = defer.Deferred()
-    results = _result(start(with_timeout(clock, 2.0, subject)))
-    subject.callback(value)
+    awaited = defer.Deferred()
+    results = _result(start(with_timeout(clock, 2.0, awaited)))
+    awaited.callback(value)
     assert results == [value]
     assert not clock.getDelayedCalls()
--- a/gladedrum/utils/timing.py
+++ b/gladedrum/utils/timing.py
@@ -1,4 +1,4 @@
-"""Waiting, with a bound, on Twisted's clock."""
+"""Sleeping, repeating, timeouts and backoff on Twisted's clock."""
 
 import random
 from collections.abc import Awaitable, Callable, Coroutine
@@ -13,22 +13,22 @@
 
 
 def sleep(clock: IReactorTime, delay_s: float) -> defer.Deferred[None]:
-    """Return a deferred that fires after `delay_s` seconds on `clock`; it can be cancelled."""
+    """Return a deferred that fires after `delay_s` seconds and can be cancelled."""
     done: defer.Deferred[None] = defer.Deferred(lambda _done: call.cancel())
     call = clock.callLater(max(0.0, delay_s), done.callback, None)
     return done
 
 
 def start(coroutine: Coroutine[Any, Any, T]) -> defer.Deferred[T]:
-    """Run a coroutine as a task; cancelling the deferred cancels what it waits for."""
+    """Run a coroutine as a task; cancelling the deferred cancels what the coroutine awaits."""
     return defer.Deferred.fromCoroutine(coroutine)
 
 
 async def repeat(clock: IReactorTime, interval_s: float, action: Callable[[], Any]) -> None:
-    """Call `action` at once and then every `interval_s` seconds, until cancelled.
+    """Call `action` immediately and then every `interval_s` seconds, until cancelled.
 
-    If `action` returns a deferred or a coroutine's deferred, the next call waits for it. An
-    exception ends the repetition and is raised.
+    If `action` returns a deferred, the next call waits for it. An exception ends the repetition and
+    is raised.
     """
     loop = task.LoopingCall(action)
     loop.clock = clock
@@ -45,11 +45,11 @@
     Raises
     ------
     TimeoutError
-        If the time is up; what was awaited is cancelled.
+        If the timeout expires; the awaitable is then cancelled.
     CancelledError
-        If the wait itself is cancelled, whatever what was awaited makes of that. Twisted's
-        HTTP client fails with an error of its own when it is cancelled, which would look like
-        a broken connection and be tried again.
+        If the wait itself is cancelled, whichever error the awaitable then fails with. Twisted's
+        HTTP client fails with its own error when it is cancelled, which would look like a broken
+        connection and be retried.
     """
     fut = awaitable if isinstance(awaitable, defer.Deferred) else start(awaitable)
     fut.addTimeout(max(0.0, timeout_s), clock, onTimeoutCancel=_raise_timeout)
@@ -62,11 +62,11 @@
 
     outer: defer.Deferred[T] = defer.Deferred(cancel)
 
-    def pass_on(result: object) -> None:
+    def forward_result(result: object) -> None:
         if not cancelled:
             outer.callback(result)
 
-    fut.addBoth(pass_on)
+    fut.addBoth(forward_result)
     return await outer
 
 
@@ -74,12 +74,12 @@
     raise TimeoutError(f"no answer within {timeout_s:g} s")
 
 
-def backoff_s(attempt: int, first_s: float, longest_s: float, rng: random.Random) -> float:
-    """Return the pause before attempt number `attempt` (from 1): exponential, with full jitter.
+def backoff_s(attempt: int, first_s: float, max_s: float, rng: random.Random) -> float:
+    """Return the delay before attempt `attempt`, counted from 1: exponential with full jitter.
 
     Examples
     --------
     >>> 0 <= backoff_s(3, 0.1, 10.0, random.Random(1)) <= 0.4
     True
     """
-    return rng.uniform(0, min(longest_s, first_s * 2 ** (attempt - 1)))
+    return rng.uniform(0, min(max_s, first_s * 2 ** (attempt - 1)))
