--- a/gladedrum/ctl/__init__.py
+++ b/gladedrum/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool."""
+"""``gladedrumctl``, the operators' command-line tool."""
--- a/gladedrum/ctl/calls.py
+++ b/gladedrum/ctl/calls.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to a box's operators' pages."""
+"""Calls to the operators' interface of a box."""
 
 import argparse
 import os
@@ -10,7 +10,7 @@
 __all__ = ["UnreachableError", "add_operators", "call_operators"]
 
 TOKEN_VARIABLE = "GLADEDRUM_TOKEN"
-"""The environment variable from which the operator's token is taken."""
+"""Environment variable that holds the operator's token."""
 
 _TIMEOUT_S = 15.0
 
@@ -20,16 +20,19 @@
 
 
 def add_operators(parser: argparse.ArgumentParser) -> None:
-    """Add the argument that says which box is asked."""
+    """Add the option that selects the box to call."""
     parser.add_argument(
-        "--operators", default=DEFAULT_OPERATORS, metavar="URL", help="operators' address"
+        "--operators",
+        default=DEFAULT_OPERATORS,
+        metavar="URL",
+        help="operators' address of the box",
     )
 
 
 async def call_operators(
     args: argparse.Namespace, reactor, method: str, path: str, body: object = None
 ) -> JsonReply:
-    """Call a page of the box that `args` name; raises `UnreachableError`."""
+    """Call a path of the box selected by `args`; raises `UnreachableError` without an answer."""
     token = os.environ.get(TOKEN_VARIABLE, "")
     url = f"{args.operators.rstrip('/')}/{path}"
     headers = {"authorization": f"Bearer {token}"}
--- a/gladedrum/ctl/command.py
+++ b/gladedrum/ctl/command.py
@@ -1,4 +1,4 @@
-"""What a sub-command of ``gladedrumctl`` is."""
+"""Sub-commands of ``gladedrumctl``: their type, exit codes and output."""
 
 import argparse
 import json
@@ -10,7 +10,7 @@
 
 
 class ExitCode(IntEnum):
-    """The exit codes that scripts can rely on."""
+    """Exit codes; scripts rely on them."""
 
     OK = 0
     FAILED = 1
@@ -21,9 +21,9 @@
 
 
 EXIT_CODES_HELP = (
-    "Exit codes: 0 done; 1 done, but the answer is no, or a request failed; 2 wrong usage or "
-    "settings; 3 the box or the platform did not answer; 4 somebody else changed the same; "
-    "5 nobody can say whether it was done."
+    "Exit codes: 0 success; 1 the command ran, but its answer is negative or a request failed; "
+    "2 invalid usage or settings; 3 the box or the platform did not answer; 4 conflict with "
+    "another change; 5 unknown whether the change was applied."
 )
 
 
@@ -34,13 +34,13 @@
     Parameters
     ----------
     name : str
-        Its name; a space separates a group from its member, as in ``table show``.
+        Its name. A space separates the group from the command, as in ``table show``.
     help : str
-        One line for the list of commands.
+        Its line in the list of commands.
     add_arguments : callable
-        Adds its arguments to a parser.
+        Adds the arguments to a parser.
     run : callable
-        Runs it with the parsed arguments and a reactor, and returns an exit code.
+        Runs the command with the parsed arguments and a reactor; returns an exit code.
     """
 
     name: str
@@ -50,12 +50,12 @@
 
 
 def print_json(body: object) -> None:
-    """Print something for programs."""
+    """Print a value as JSON, for programs."""
     print(json.dumps(body, indent=2, sort_keys=True))
 
 
 def print_table(heading: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows for people: aligned, numbers to the right."""
+    """Print rows as aligned columns, for people; numbers are right-aligned."""
     texts = [[_cell(value) for value in row] for row in rows]
     widths = [max(len(text) for text in column) for column in zip(heading, *texts, strict=True)]
     print("  ".join(h.ljust(w) for h, w in zip(heading, widths, strict=True)).rstrip())
--- a/gladedrum/ctl/condemned.py
+++ b/gladedrum/ctl/condemned.py
@@ -1,4 +1,8 @@
-"""``gladedrumctl condemned``: the requests that end the targets that run them."""
+"""``gladedrumctl condemned``: lists and lifts condemned requests.
+
+A condemned request has crashed the targets that ran it. No target gets it until its entry expires
+or an operator lifts it.
+"""
 
 import argparse
 from http import HTTPStatus
@@ -11,13 +15,13 @@
 
 def _add_lift(parser: argparse.ArgumentParser) -> None:
     add_operators(parser)
-    parser.add_argument("digest", metavar="DIGEST", help="the request, as the list shows it")
+    parser.add_argument("digest", metavar="DIGEST", help="digest of the request, as listed")
 
 
 async def _list(args: argparse.Namespace, reactor) -> ExitCode:
     reply = await call_operators(args, reactor, "GET", "condemned")
     if reply.status != HTTPStatus.OK:
-        raise UnreachableError(f"{args.operators}: no list of condemned requests there")
+        raise UnreachableError(f"{args.operators}: no list of condemned requests from this box")
     rows = reply.body["condemned"]
     if args.json:
         print_json(rows)
@@ -47,7 +51,12 @@
 
 
 COMMANDS = [
-    Command("condemned list", "List requests that end their targets.", add_operators, _list),
-    Command("condemned lift", "Let one of them be tried again.", _add_lift, _lift),
+    Command(
+        "condemned list",
+        "List condemned requests: those that crash their targets.",
+        add_operators,
+        _list,
+    ),
+    Command("condemned lift", "Allow a condemned request again.", _add_lift, _lift),
 ]
 """The commands of this module."""
--- a/gladedrum/ctl/main.py
+++ b/gladedrum/ctl/main.py
@@ -1,4 +1,4 @@
-"""``gladedrumctl``: the command-line tool."""
+"""Entry point of ``gladedrumctl``."""
 
 import argparse
 import sys
@@ -61,7 +61,7 @@
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="gladedrumctl",
-        description="Look at and steer a fleet of gladedrum boxes.",
+        description="Inspect and control a fleet of gladedrum boxes.",
         epilog=EXIT_CODES_HELP,
     )
     version = f"gladedrumctl {__version__}"
@@ -74,15 +74,15 @@
         if group and group not in groups:
             group_parser = subparsers.add_parser(group, help=f"commands about the {group}")
             groups[group] = group_parser.add_subparsers(required=True, metavar="COMMAND")
-        adder = groups[group] if group else subparsers
-        own = adder.add_parser(
+        parsers = groups[group] if group else subparsers
+        command_parser = parsers.add_parser(
             member, help=command.help, description=command.help, epilog=EXIT_CODES_HELP
         )
-        own.add_argument(
+        command_parser.add_argument(
             "--json", action="store_true", default=argparse.SUPPRESS, help="print JSON"
         )
-        command.add_arguments(own)
-        own.set_defaults(run=command.run)
+        command.add_arguments(command_parser)
+        command_parser.set_defaults(run=command.run)
     return parser
 
 
--- a/gladedrum/ctl/report.py
+++ b/gladedrum/ctl/report.py
@@ -1,4 +1,4 @@
-"""``gladedrumctl report``: how requests were served, from the logs of boxes."""
+"""``gladedrumctl report``: reports how requests were served, from the logs of boxes."""
 
 import argparse
 import sys
@@ -9,7 +9,7 @@
 from .logs import add_log_arguments, read_logs
 from .service import ServedRequest, served_requests
 from .service_plot import plot_service
-from .service_tables import GroupFigures, ServiceReport, report_of
+from .service_tables import GroupFigures, ServiceReport, make_report
 
 __all__ = ["COMMANDS"]
 
@@ -22,10 +22,10 @@
 def _add_arguments(parser: argparse.ArgumentParser) -> None:
     add_log_arguments(parser)
     parser.add_argument(
-        "--window", type=float, default=10.0, metavar="SECONDS", help="length of a window"
+        "--window", type=float, default=10.0, metavar="SECONDS", help="length of the time windows"
     )
     parser.add_argument(
-        "--plot", type=Path, metavar="FILE", help="also draw a picture, as .png, .svg or .pdf"
+        "--plot", type=Path, metavar="FILE", help="also draw a plot, as .png, .svg or .pdf"
     )
 
 
@@ -34,7 +34,7 @@
     if rows is None or args.window <= 0:
         return ExitCode.USAGE
     served = served_requests(rows)
-    report = report_of(served, args.window, rows)
+    report = make_report(served, args.window, rows)
     drawn = args.plot is None or _draw(served, args)
     if args.json:
         print_json(report._asdict())
@@ -46,11 +46,11 @@
 
 
 def _draw(served: Sequence[ServedRequest], args: argparse.Namespace) -> bool:
-    """Draw the picture; False, with a message, if the library for it is not installed."""
+    """Draw the plot; prints a message and returns False if matplotlib is not installed."""
     try:
         plot_service(served, args.window, args.plot)
     except ImportError as exc:
-        message = f"no picture is drawn: {exc}; install the extra 'plots' of gladedrum"
+        message = f"cannot draw the plot: {exc}; install the extra 'plots' of gladedrum"
         print(f"gladedrumctl: {message}", file=sys.stderr)
         return False
     return True
@@ -85,8 +85,8 @@
 COMMANDS = [
     Command(
         "report",
-        "How requests were served, from the logs of boxes alone: by kind, organisation, data hall "
-        "and window, and what their worth was lost for.",
+        "Report how requests were served, from the logs of boxes: by kind, organisation, data hall "
+        "and time window, with the causes of lost worth.",
         _add_arguments,
         _report,
     )
--- a/gladedrum/ctl/service.py
+++ b/gladedrum/ctl/service.py
@@ -1,8 +1,10 @@
-"""How each request was served, and why not better, from the logs of boxes alone.
+"""Classifies how each request was served, and why it was not in time, from the logs of boxes.
 
-A request counts as in time if it was answered whole, its first event (or its plain answer) came
-within the objective of its route, and no pause was longer than the route aims at. Each try of a
-caller is a request of its own: a caller that comes back has a new id.
+A request is in time if its answer is complete, its first event (or its plain answer) came within
+the objective of its route, and no pause of its stream exceeded the limit of the route. A caller's
+retry has a new id and counts as a separate request.
+
+The worth of a request, as scheduling defines it, weighs how much a late or lost answer costs.
 """
 
 import itertools
@@ -13,23 +15,22 @@
 from typing import Any, NamedTuple
 
 from ..scheduling.credit import LATE_LOSS, worth_of
-from .story import LogRow, seconds_of
+from .story import LogRow, time_of_day_s
 
 __all__ = ["ServedRequest", "Verdict", "served_requests"]
 
-LONG_READ_TOKENS = 8_000
-"""A part of a prompt of so many tokens, placed beside a stream, counts as a cause of its pause."""
-
-WAITED_SHARE = 0.25
-"""A request that was offered only after this share of its objective waited for a place."""
+LONG_PROMPT_TOKENS = 8_000
+"""Prompt tokens on a target from which a prompt counts as the cause of a stream's pause there."""
 
-MISJUDGED_X = 1.5
-"""A first event later than predicted by this factor was misjudged."""
+WAIT_SHARE = 0.25
+"""Share of its objective after which a request without an attempt counts as waiting for a place."""
 
+LATE_PREDICTION_FACTOR = 1.5
+"""Factor of the predicted time from which a first event counts as later than predicted."""
 
-_WITH_DIGITS = re.compile(r"[\w.-]*\d[\w.-]*")
-_LISTED = re.compile(r"N(, N)+")
-"""Numbers and names of targets in a reason; several of them in a row."""
+_WORD_WITH_DIGITS = re.compile(r"[\w.-]*\d[\w.-]*")
+_PLACEHOLDER_LIST = re.compile(r"N(, N)+")
+"""Matches lists of placeholders that `_WORD_WITH_DIGITS` has left for numbers and names."""
 
 
 class Verdict(StrEnum):
@@ -43,28 +44,28 @@
 
 
 class ServedRequest(NamedTuple):
-    """A request that has ended.
+    """A request that has ended, and how it was served.
 
     Parameters
     ----------
     at_s : float
-        When it arrived, in seconds of the day.
+        Time of its arrival, in seconds since midnight.
     request_id, box, data_hall, organisation, kind : str
-        Whose it was; the kind is its route.
+        Identify the request and its origin; the kind is the route.
     verdict : Verdict
         How it was served.
     cause : str
-        Why it was not in time; empty if it was.
+        Why the request was not in time; empty if it was.
     worth : float
-        What it was worth in time, in units of the smallest request's.
+        Worth of an answer in time, in units of the smallest request's worth.
     first_s : float or None
-        When its first event came, or its plain answer, in seconds from its arrival.
+        Time from its arrival to its first event or plain answer; None if none came.
     predicted_s : float or None
-        When that was predicted; None if nothing was.
+        Predicted value of `first_s`; None if there was no prediction.
     held_s : float
-        Seconds for which it was held without an offer, if it was not served; else 0.
+        How long it was held if no target was tried; else 0.
     about : str
-        What its kind is: a stream or a plain answer, and its objective.
+        Description of its kind: stream or plain answer, and the objective.
     """
 
     at_s: float
@@ -83,7 +84,7 @@
 
     @property
     def lost(self) -> float:
-        """The worth that was lost."""
+        """The worth lost by a late or missing answer."""
         match self.verdict:
             case Verdict.IN_TIME:
                 return 0.0
@@ -93,8 +94,8 @@
                 return self.worth
 
 
-class _Placed(NamedTuple):
-    """A prompt, or a part of one, that came to a target."""
+class _PlacedPrompt(NamedTuple):
+    """A prompt, or a part of one, that was placed on a target."""
 
     at_s: float
     request_id: str
@@ -102,36 +103,38 @@
 
 
 def served_requests(rows: Iterable[LogRow]) -> list[ServedRequest]:
-    """Return the requests whose ends are among the rows, in the order of their arrivals."""
+    """Return the requests that end within the rows, in order of arrival."""
     by_request: dict[str, list[LogRow]] = defaultdict(list)
     for row in rows:
         if row.request_id:
             by_request[row.request_id].append(row)
-    reads = _reads_by_target(itertools.chain.from_iterable(by_request.values()))
+    long_prompts = _long_prompts_by_target(itertools.chain.from_iterable(by_request.values()))
     served = [
-        _served(row, by_request[row.request_id], reads)
+        _served_request(row, by_request[row.request_id], long_prompts)
         for row in itertools.chain.from_iterable(by_request.values())
         if row.message == "request ended" and row.fields.get("objective_s")
     ]
     return sorted(served)
 
 
-def _reads_by_target(rows: Iterable[LogRow]) -> dict[str, list[_Placed]]:
-    reads: dict[str, list[_Placed]] = defaultdict(list)
+def _long_prompts_by_target(rows: Iterable[LogRow]) -> dict[str, list[_PlacedPrompt]]:
+    long_prompts: dict[str, list[_PlacedPrompt]] = defaultdict(list)
     for row in rows:
         if row.message != "request placed":
             continue
         names = [row.fields.get("target", ""), *row.fields.get("helper_names", ())]
         part = row.fields.get("prompt_tokens", 0) / len(names)
-        for name in names if part >= LONG_READ_TOKENS else ():
-            reads[name].append(_Placed(seconds_of(row.time), row.request_id, part))
-    return reads
+        for name in names if part >= LONG_PROMPT_TOKENS else ():
+            long_prompts[name].append(_PlacedPrompt(time_of_day_s(row.time), row.request_id, part))
+    return long_prompts
 
 
-def _served(ended: LogRow, own: Sequence[LogRow], reads: dict[str, list[_Placed]]) -> ServedRequest:
+def _served_request(
+    ended: LogRow, own: Sequence[LogRow], long_prompts: dict[str, list[_PlacedPrompt]]
+) -> ServedRequest:
     fields = ended.fields
     took_s = fields.get("took_s", 0.0)
-    at_s = seconds_of(ended.time) - took_s
+    at_s = time_of_day_s(ended.time) - took_s
     placed = [row for row in own if row.message == "request placed"]
     first_s = _first_s(fields)
     verdict = _verdict(fields, first_s)
@@ -144,17 +147,17 @@
         fields.get("organisation", ""),
         fields.get("route", ""),
         verdict,
-        _cause(verdict, fields, at_s, own, placed, reads),
+        _cause(verdict, fields, at_s, own, placed, long_prompts),
         worth_of(fields.get("prompt_tokens", 0)),
         first_s,
         predicted_s or None,
         took_s if fields.get("offered_s") is None else 0.0,
-        _about(fields),
+        _describe_kind(fields),
     )
 
 
-def _about(fields: dict[str, Any]) -> str:
-    """Return what a kind of request is, as far as its lines tell: routes have names only."""
+def _describe_kind(fields: dict[str, Any]) -> str:
+    """Describe a kind of request: the logs do not hold the properties of its route."""
     what = "stream" if fields.get("pause_limit_s") else "plain"
     return f"{what}, {fields['objective_s']:g} s"
 
@@ -168,7 +171,7 @@
 def _verdict(fields: dict[str, Any], first_s: float | None) -> Verdict:
     match fields.get("outcome"), fields.get("reason"):
         case "completed", _:
-            late = _paused(fields) or first_s > fields["objective_s"]
+            late = _exceeds_pause_limit(fields) or first_s > fields["objective_s"]
             return Verdict.LATE if late else Verdict.IN_TIME
         case "not-run", _:
             return Verdict.REFUSED
@@ -178,8 +181,8 @@
             return Verdict.FAILED
 
 
-def _paused(fields: dict[str, Any]) -> bool:
-    """Whether a stream paused for longer than its route aims at."""
+def _exceeds_pause_limit(fields: dict[str, Any]) -> bool:
+    """Whether a stream paused for longer than the limit of its route."""
     limit_s = fields.get("pause_limit_s") or float("inf")
     return fields.get("longest_pause_s", 0.0) > limit_s
 
@@ -190,24 +193,24 @@
     at_s: float,
     own: Sequence[LogRow],
     placed: Sequence[LogRow],
-    reads: dict[str, list[_Placed]],
+    long_prompts: dict[str, list[_PlacedPrompt]],
 ) -> str:
     if verdict is Verdict.IN_TIME:
         return ""
     if verdict in (Verdict.REFUSED, Verdict.FAILED):
-        return _without_figures(fields.get("reason", ""))
+        return _normalize_reason(fields.get("reason", ""))
     objective_s = fields["objective_s"]
-    if (fields.get("offered_s") or 0.0) > WAITED_SHARE * objective_s:
+    if (fields.get("offered_s") or 0.0) > WAIT_SHARE * objective_s:
         return "waited for a place"
     failed = [row for row in own if row.message == "try failed"]
     silent = any(row.fields.get("reason") == "the target has fallen silent" for row in failed)
     if failed and not silent:
-        return f"a try failed: {_without_figures(failed[0].fields.get('reason', ''))}"
+        return f"a try failed: {_normalize_reason(failed[0].fields.get('reason', ''))}"
     if (fields.get("first_event_s") or 0.0) > objective_s:
         return _cause_of_late_start(fields, placed)
-    if verdict is Verdict.LEFT and fields.get("first_event_s") and not _paused(fields):
+    if verdict is Verdict.LEFT and fields.get("first_event_s") and not _exceeds_pause_limit(fields):
         return "it was being served in time"
-    if _read_beside(fields, at_s, placed, reads):
+    if _long_prompt_during_pause(fields, at_s, placed, long_prompts):
         return "a long prompt came to its target while it wrote"
     return "its target paused without a known reason"
 
@@ -216,36 +219,36 @@
     predicted_s = placed[0].fields.get("predicted_s", 0.0) if placed else 0.0
     if predicted_s > fields["objective_s"]:
         return "late as predicted: all targets were busy"
-    if fields["first_event_s"] > MISJUDGED_X * predicted_s:
+    if fields["first_event_s"] > LATE_PREDICTION_FACTOR * predicted_s:
         return "first event later than predicted"
     return "first event just late"
 
 
-def _read_beside(
+def _long_prompt_during_pause(
     fields: dict[str, Any],
     at_s: float,
     placed: Sequence[LogRow],
-    reads: dict[str, list[_Placed]],
+    long_prompts: dict[str, list[_PlacedPrompt]],
 ) -> bool:
-    """Whether a long prompt came to its first target before its longest pause had ended."""
+    """Whether a long prompt came to the first target before the longest pause ended."""
     if not placed:
         return False
     paused_s = fields.get("pause_began_s", 0.0) + fields.get("longest_pause_s", 0.0)
     until_s = at_s + (paused_s or fields.get("took_s", 0.0))
     return any(
-        at_s < read.at_s < until_s and read.request_id != placed[0].request_id
-        for read in reads.get(placed[0].fields.get("target", ""), ())
+        at_s < prompt.at_s < until_s and prompt.request_id != placed[0].request_id
+        for prompt in long_prompts.get(placed[0].fields.get("target", ""), ())
     )
 
 
-def _without_figures(text: str) -> str:
-    """Return a reason with its numbers and names left out, so that alike ones count together.
+def _normalize_reason(text: str) -> str:
+    """Replace numbers and names in a reason, so that similar reasons are counted together.
 
     Examples
     --------
-    >>> _without_figures("no memory at i-40b55510cb, i-a56e09b57f")
+    >>> _normalize_reason("no memory at i-40b55510cb, i-a56e09b57f")
     'no memory at N'
-    >>> _without_figures("the configuration is 5.3 s old")
+    >>> _normalize_reason("the configuration is 5.3 s old")
     'the configuration is N s old'
     """
-    return _LISTED.sub("N", _WITH_DIGITS.sub("N", text))
+    return _PLACEHOLDER_LIST.sub("N", _WORD_WITH_DIGITS.sub("N", text))
--- a/gladedrum/ctl/service_tables.py
+++ b/gladedrum/ctl/service_tables.py
@@ -1,4 +1,4 @@
-"""Tables of how requests were served: by kind, organisation, data hall, window and cause."""
+"""Tables of served requests: by kind, organisation, data hall, time window and cause."""
 
 import itertools
 import statistics
@@ -9,15 +9,15 @@
 from .service import ServedRequest, Verdict
 from .story import LogRow
 
-__all__ = ["Causes", "DeciderFigures", "GroupFigures", "ServiceReport", "report_of"]
+__all__ = ["CauseFigures", "DeciderFigures", "GroupFigures", "ServiceReport", "make_report"]
 
 
 class GroupFigures(TypedDict):
     """Figures of a group of requests.
 
-    ``about`` says what all of them are, empty if they differ; ``in_time_share`` counts worth;
-    ``error_s`` is the median of first events against their predictions and ``abs_error_s`` that of
-    the absolute difference, both None without predictions.
+    ``about`` describes the requests and is empty if they differ. ``in_time_share`` is a share of
+    worth. ``error_s`` is the median difference between actual and predicted time to the first
+    event, ``abs_error_s`` the median absolute difference; both are None without predictions.
     """
 
     name: str
@@ -35,8 +35,8 @@
     abs_error_s: float | None
 
 
-class Causes(TypedDict):
-    """What a cause has cost."""
+class CauseFigures(TypedDict):
+    """Requests that were not in time for one cause, and the worth lost."""
 
     cause: str
     verdict: str
@@ -46,9 +46,9 @@
 
 
 class DeciderFigures(TypedDict):
-    """A box that places requests: its share, and the questions that it did not answer in time.
+    """A box that decides placements: its share, and the queries it did not answer in time.
 
-    ``name`` is empty for boxes that decided alone.
+    ``name`` is empty for requests that a box placed by itself.
     """
 
     name: str
@@ -58,23 +58,30 @@
 
 
 class ServiceReport(NamedTuple):
-    """The whole report; groups by name, causes in the order of worth lost."""
+    """The complete report: groups in order of name, causes in order of worth lost."""
 
     total: GroupFigures
     kinds: list[GroupFigures]
     organisations: list[GroupFigures]
     data_halls: list[GroupFigures]
     windows: list[GroupFigures]
-    causes: list[Causes]
+    causes: list[CauseFigures]
     deciders: list[DeciderFigures]
 
 
-def report_of(
+def make_report(
     served: Sequence[ServedRequest], window_s: float, rows: Iterable[LogRow] = ()
 ) -> ServiceReport:
-    """Return the report on requests, in windows of so many seconds from the first one's arrival.
-
-    `rows` are the lines that the requests come from; they tell who decided.
+    """Return the report on requests.
+
+    Parameters
+    ----------
+    served : sequence of ServedRequest
+        The requests.
+    window_s : float
+        Length of a time window; the first one begins with the first arrival.
+    rows : iterable of LogRow
+        Rows of the logs, from which the deciders are counted.
     """
     begin_s = min((row.at_s for row in served), default=0.0)
 
@@ -82,7 +89,7 @@
         return f"{int((row.at_s - begin_s) // window_s) * window_s:7.0f} s"
 
     return ServiceReport(
-        _figures("all", served),
+        _group_figures("all", served),
         _groups(served, lambda row: row.kind),
         _groups(served, lambda row: row.organisation),
         _groups(served, lambda row: row.data_hall),
@@ -96,10 +103,12 @@
     served: Iterable[ServedRequest], name_of: Callable[[ServedRequest], str]
 ) -> list[GroupFigures]:
     ordered = sorted(served, key=name_of)
-    return [_figures(name, list(rows)) for name, rows in itertools.groupby(ordered, key=name_of)]
+    return [
+        _group_figures(name, list(rows)) for name, rows in itertools.groupby(ordered, key=name_of)
+    ]
 
 
-def _figures(name: str, rows: Sequence[ServedRequest]) -> GroupFigures:
+def _group_figures(name: str, rows: Sequence[ServedRequest]) -> GroupFigures:
     counts = {verdict: sum(row.verdict is verdict for row in rows) for verdict in Verdict}
     worth = sum(row.worth for row in rows)
     in_time = sum(row.worth for row in rows if row.verdict is Verdict.IN_TIME)
@@ -121,14 +130,14 @@
     )
 
 
-def _causes(served: Sequence[ServedRequest]) -> list[Causes]:
+def _causes(served: Sequence[ServedRequest]) -> list[CauseFigures]:
     def key(row: ServedRequest) -> tuple[str, str]:
         return row.verdict, row.cause
 
     missed = sorted((row for row in served if row.cause), key=key)
     grouped = [(names, list(rows)) for names, rows in itertools.groupby(missed, key=key)]
     causes = [
-        Causes(
+        CauseFigures(
             cause=cause,
             verdict=verdict,
             requests=len(rows),
--- a/gladedrum/ctl/settings.py
+++ b/gladedrum/ctl/settings.py
@@ -1,8 +1,8 @@
-"""``gladedrumctl settings``: the settings of the daemon."""
+"""``gladedrumctl settings``: prints and checks settings of the daemon."""
 
 import argparse
 
-# The daemon's modules declare the settings when they are imported.
+# Importing the daemon's modules declares their settings.
 from .. import forward  # noqa: F401
 from ..config import load_settings, render_reference, render_sample
 from ..daemon import box, embedded  # noqa: F401
@@ -12,7 +12,7 @@
 
 
 def _no_arguments(parser: argparse.ArgumentParser) -> None:
-    """The command takes none."""
+    """Add no arguments."""
 
 
 async def _sample(args: argparse.Namespace, reactor) -> ExitCode:
@@ -31,13 +31,15 @@
 
 async def _check(args: argparse.Namespace, reactor) -> ExitCode:
     load_settings(args.file)
-    print(f"{args.file}: the settings are right")
+    print(f"{args.file}: the settings are valid")
     return ExitCode.OK
 
 
 COMMANDS = [
-    Command("settings sample", "Print a file with every setting.", _no_arguments, _sample),
-    Command("settings reference", "Print the page on settings.", _no_arguments, _reference),
-    Command("settings check", "Check a file of settings.", _add_file, _check),
+    Command("settings sample", "Print a sample file with all settings.", _no_arguments, _sample),
+    Command(
+        "settings reference", "Print the reference page of the settings.", _no_arguments, _reference
+    ),
+    Command("settings check", "Check a settings file.", _add_file, _check),
 ]
 """The commands of this module."""
--- a/gladedrum/ctl/status.py
+++ b/gladedrum/ctl/status.py
@@ -1,4 +1,4 @@
-"""``gladedrumctl status``: what boxes know of themselves."""
+"""``gladedrumctl status``: shows the state of boxes."""
 
 import argparse
 
@@ -8,9 +8,9 @@
 __all__ = ["COMMANDS", "DEFAULT_OPERATORS"]
 
 DEFAULT_OPERATORS = "http://127.0.0.1:8081"
-"""Where the operators' interface of the sample settings is."""
+"""Operators' address in the sample settings."""
 
-_PAUSE_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
 def _add_arguments(parser: argparse.ArgumentParser) -> None:
@@ -32,13 +32,13 @@
 async def _run(args: argparse.Namespace, reactor) -> ExitCode:
     web = WebClient(reactor)
     urls = [url.rstrip("/") for url in args.operators or [DEFAULT_OPERATORS]]
-    end_s = reactor.seconds() + args.wait
+    deadline_s = reactor.seconds() + args.wait
     while True:
-        rows = [await _row(web, url) for url in urls]
+        rows = [await _fetch_row(web, url) for url in urls]
         ready = all(row.get("ready") for row in rows)
-        if ready or reactor.seconds() >= end_s:
+        if ready or reactor.seconds() >= deadline_s:
             break
-        await sleep(reactor, _PAUSE_S)
+        await sleep(reactor, _POLL_INTERVAL_S)
     if args.json:
         print_json(rows)
     else:
@@ -48,7 +48,7 @@
     return ExitCode.OK if ready else ExitCode.FAILED
 
 
-async def _row(web: WebClient, url: str) -> dict:
+async def _fetch_row(web: WebClient, url: str) -> dict:
     try:
         ready = await web.call_json("GET", f"{url}/readyz")
         status = await web.call_json("GET", f"{url}/status")
--- a/gladedrum/ctl/story.py
+++ b/gladedrum/ctl/story.py
@@ -1,7 +1,6 @@
-"""A request's story, put together from the logs of boxes.
+"""Timeline of a request, built from the logs of boxes.
 
-It holds the request's own lines, and what happened around them to the targets and boxes that they
-name.
+It holds the request's own log lines, and events of its targets and boxes at about the same time.
 """
 
 import json
@@ -9,43 +8,42 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-__all__ = ["LogRow", "Story", "read_rows", "seconds_of", "tell"]
+__all__ = ["LogRow", "Timeline", "build_timeline", "parse_log_lines", "time_of_day_s"]
 
-AROUND_S = 2.0
-"""How long before and after a request what happened to its targets is part of its story, in
-seconds."""
+CONTEXT_S = 2.0
+"""Events up to this long before and after a request are part of its timeline."""
 
 _PLACED, _ENDED = "request placed", "request ended"
-"""Messages of the lines that tell where a try goes, and how all ends."""
+"""Messages logged for each attempt at a target and for the end of a request."""
 
-_ABOUT_TARGETS = {"target listed", "target gone", "target reports", "target failed a request"}
-_ABOUT_BOX = {
+_TARGET_EVENTS = {"target listed", "target gone", "target reports", "target failed a request"}
+_BOX_EVENTS = {
     "configuration not read", "configuration read again", "list of targets not read",
     "list of targets read again", "draining", "drained", "started", "stopped",
     "stopping with open connections",
 }  # fmt: skip
-"""Messages about targets and boxes that may have to do with a request at the same time."""
+"""Messages about targets and boxes that may explain what happened to a request."""
 
-_COMMON = {"time", "level", "logger", "message", "box", "request_id"}
-"""What every line may have; the rest is a line's own."""
+_COMMON_FIELDS = {"time", "level", "logger", "message", "box", "request_id"}
+"""Fields that any line may have; other fields depend on the message."""
 
 
 @dataclass(frozen=True)
 class LogRow:
-    """A line of a box's log.
+    """A parsed line of a box's log.
 
     Parameters
     ----------
     time : str
-        Its time of day, as the box wrote it.
+        Date and time of day, as logged.
     box : str
-        The box.
+        The box that wrote the line.
     message : str
-        What it says.
+        The message.
     request_id : str
-        The request that it is about, empty if none.
+        The request that the line is about; empty if none.
     fields : dict
-        Everything else.
+        All other fields.
     """
 
     time: str
@@ -56,17 +54,17 @@
 
 
 @dataclass
-class Story:
-    """What the logs say of one request.
+class Timeline:
+    """What the logs hold about one request.
 
     Parameters
     ----------
     rows : list of LogRow
-        Its own lines, and those of its targets and boxes around it, in order of time.
+        The lines of the request and of its targets and boxes, in order of time.
     summary : str
-        How it ended, in a sentence.
+        How the request ended, in a sentence.
     missing : list of str
-        What should be there and is not.
+        Lines that are expected but absent from the logs.
     """
 
     rows: list[LogRow] = field(default_factory=list)
@@ -74,10 +72,10 @@
     missing: list[str] = field(default_factory=list)
 
 
-def read_rows(lines: Iterable[str]) -> list[LogRow]:
-    """Return the lines that are rows of a log; others are passed over.
+def parse_log_lines(lines: Iterable[str]) -> list[LogRow]:
+    """Parse the lines of a log; lines without a JSON object are skipped.
 
-    What stands in front of the JSON, as collectors of logs put it there, is ignored.
+    Text in front of the JSON is ignored, as log collectors add prefixes.
     """
     rows = []
     for line in lines:
@@ -87,53 +85,53 @@
         except ValueError:
             continue
         if isinstance(row, dict) and "message" in row:
-            rows.append(_row(row))
+            rows.append(_parse_row(row))
     return rows
 
 
-def _row(parsed: dict[str, Any]) -> LogRow:
+def _parse_row(parsed: dict[str, Any]) -> LogRow:
     return LogRow(
         str(parsed.get("time", "")),
         str(parsed.get("box", "")),
         parsed["message"],
         str(parsed.get("request_id", "")),
-        {name: value for name, value in parsed.items() if name not in _COMMON},
+        {name: value for name, value in parsed.items() if name not in _COMMON_FIELDS},
     )
 
 
-def tell(request_id: str, rows: Iterable[LogRow]) -> Story:
-    """Put a request's story together."""
+def build_timeline(request_id: str, rows: Iterable[LogRow]) -> Timeline:
+    """Build the timeline of a request."""
     rows = sorted(rows, key=lambda row: row.time)
     own = [row for row in rows if row.request_id == request_id]
-    story = Story()
+    timeline = Timeline()
     if not own:
-        story.missing.append("no line of this request; is the log of its box among the files?")
-        return story
-    story.rows = _with_surroundings(own, rows)
-    story.summary = _summary(own)
-    story.missing = _missing(own)
-    return story
+        timeline.missing.append("no line of this request; is the log of its box among the files?")
+        return timeline
+    timeline.rows = _with_context(own, rows)
+    timeline.summary = _summary(own)
+    timeline.missing = _missing(own)
+    return timeline
 
 
-def _with_surroundings(own: list[LogRow], rows: list[LogRow]) -> list[LogRow]:
-    """Return a request's own lines, and those of its targets and boxes around them."""
+def _with_context(own: list[LogRow], rows: list[LogRow]) -> list[LogRow]:
+    """Return a request's own lines and the events of its targets and boxes around them."""
     request_id = own[0].request_id
     boxes = {row.box for row in own}
     targets = {row.fields["target"] for row in own if "target" in row.fields}
     targets |= {name for row in own for name in row.fields.get("helper_names", ())}
-    begin_s, end_s = seconds_of(own[0].time) - AROUND_S, seconds_of(own[-1].time) + AROUND_S
+    begin_s, end_s = time_of_day_s(own[0].time) - CONTEXT_S, time_of_day_s(own[-1].time) + CONTEXT_S
     return [
         row
         for row in rows
         if row.request_id == request_id
-        or (begin_s <= seconds_of(row.time) <= end_s and _is_around(row, boxes, targets))
+        or (begin_s <= time_of_day_s(row.time) <= end_s and _is_context(row, boxes, targets))
     ]
 
 
-def _is_around(row: LogRow, boxes: set[str], targets: set[str]) -> bool:
-    if row.message in _ABOUT_TARGETS:
+def _is_context(row: LogRow, boxes: set[str], targets: set[str]) -> bool:
+    if row.message in _TARGET_EVENTS:
         return row.fields.get("target") in targets
-    return row.message in _ABOUT_BOX and row.box in boxes
+    return row.message in _BOX_EVENTS and row.box in boxes
 
 
 def _summary(own: list[LogRow]) -> str:
@@ -142,12 +140,12 @@
         return "it has not ended, or its last line is missing"
     fields = ended.fields
     reason = f": {fields['reason']}" if fields.get("reason") else ""
-    tries = sum(row.message == _PLACED for row in own)
+    attempts = sum(row.message == _PLACED for row in own)
     first_s = fields.get("first_event_s")
     first = f", first event after {first_s} s" if first_s is not None else ""
     return (
         f"{fields.get('outcome')} with status {fields.get('status')}{reason}, after "
-        f"{fields.get('took_s')} s and {tries} tries at targets{first}"
+        f"{fields.get('took_s')} s and {attempts} tries at targets{first}"
     )
 
 
@@ -162,8 +160,8 @@
     return missing
 
 
-def seconds_of(time: str) -> float:
-    """Return the time of day in seconds; log times look like ``2026-05-09 14:27:27,279``."""
+def time_of_day_s(time: str) -> float:
+    """Return seconds since midnight for a log time such as ``2026-05-09 14:27:27,279``."""
     clock = time.rpartition(" ")[2].replace(",", ".").split(":")
     try:
         hours, minutes, seconds = (float(part) for part in clock)
--- a/gladedrum/ctl/table.py
+++ b/gladedrum/ctl/table.py
@@ -1,4 +1,4 @@
-"""``gladedrumctl table``: the table of weights and limits."""
+"""``gladedrumctl table``: shows and edits the table of weights and limits."""
 
 import argparse
 import getpass
@@ -14,8 +14,8 @@
 from .table_files import (
     Rows,
     TableUsageError,
+    cells_to_edit,
     changes_between,
-    differences,
     parse_cell,
     read_file,
     rows_at,
@@ -24,16 +24,20 @@
 
 __all__ = ["COMMANDS", "TableUsageError"]
 
-MOST_EDITS = 1000
-"""How far the history is asked for."""
+MAX_HISTORY_EDITS = 1000
+"""Maximum number of edits read from the history."""
 
 
 def _add_edit(parser: argparse.ArgumentParser) -> None:
     add_operators(parser)
-    parser.add_argument("--why", default="", help="the reason, kept with the edit")
-    parser.add_argument("--who", default=getpass.getuser(), help="who asks for the edit")
-    parser.add_argument("--dry-run", action="store_true", help="only say what would change")
-    parser.add_argument("--seen", type=int, help="the revision you looked at; default the newest")
+    parser.add_argument("--why", default="", help="reason, stored with the edit")
+    parser.add_argument("--who", default=getpass.getuser(), help="author of the edit")
+    parser.add_argument(
+        "--dry-run", action="store_true", help="show the changes without applying them"
+    )
+    parser.add_argument(
+        "--seen", type=int, help="revision that the edit is based on; default: newest"
+    )
 
 
 async def _call(
@@ -42,12 +46,14 @@
     return await call_operators(args, reactor, method, f"table/{path}", body)
 
 
-# Showing.
+# Reading.
 
 
 def _add_show(parser: argparse.ArgumentParser) -> None:
     add_operators(parser)
-    parser.add_argument("--row", default="", metavar="TEXT", help="only rows that hold this")
+    parser.add_argument(
+        "--row", default="", metavar="TEXT", help="only rows whose name contains TEXT"
+    )
     parser.add_argument("--csv", action="store_true", help="print CSV, for spreadsheets")
 
 
@@ -106,13 +112,13 @@
 
 def _add_history(parser: argparse.ArgumentParser) -> None:
     add_operators(parser)
-    parser.add_argument("--count", type=int, default=20, help="how many edits")
+    parser.add_argument("--count", type=int, default=20, help="number of edits")
 
 
 async def _history(args: argparse.Namespace, reactor) -> ExitCode:
     reply = await _call(args, reactor, "GET", f"history?count={args.count}")
     if reply.status != 200:
-        return _say(args, reply)
+        return _print_reply(args, reply)
     edits = reply.body["edits"]
     if args.json:
         print_json(edits)
@@ -130,13 +136,13 @@
 
 def _add_export(parser: argparse.ArgumentParser) -> None:
     add_operators(parser)
-    parser.add_argument("--at", type=int, metavar="REV", help="the table as it was; default now")
+    parser.add_argument("--at", type=int, metavar="REV", help="revision to export; default: newest")
 
 
 async def _export(args: argparse.Namespace, reactor) -> ExitCode:
     body = (await _call(args, reactor, "GET", "rows")).body
     revision = body["revision"] if args.at is None else args.at
-    rows = await _rows_at(args, reactor, revision, body)
+    rows = await _fetch_rows_at(args, reactor, revision, body)
     if args.json:
         print_json({"revision": revision, "rows": rows})
     else:
@@ -148,14 +154,14 @@
     add_operators(parser)
     parser.add_argument("before", type=int, metavar="REV", help="the older revision")
     parser.add_argument(
-        "after", type=int, nargs="?", metavar="REV", help="the newer one; default the newest"
+        "after", type=int, nargs="?", metavar="REV", help="the newer revision; default: newest"
     )
 
 
 async def _diff(args: argparse.Namespace, reactor) -> ExitCode:
     body = (await _call(args, reactor, "GET", "rows")).body
-    before = await _rows_at(args, reactor, args.before, body)
-    after = await _rows_at(args, reactor, args.after, body)
+    before = await _fetch_rows_at(args, reactor, args.before, body)
+    after = await _fetch_rows_at(args, reactor, args.after, body)
     changes = changes_between(before, after)
     if args.json:
         print_json(changes)
@@ -164,29 +170,31 @@
     return ExitCode.OK
 
 
-async def _rows_at(args: argparse.Namespace, reactor, revision: int | None, newest: dict) -> Rows:
+async def _fetch_rows_at(
+    args: argparse.Namespace, reactor, revision: int | None, newest: dict
+) -> Rows:
     if revision is None or revision == newest["revision"]:
         return newest["rows"]
-    edits = await _edits(args, reactor)
+    edits = await _fetch_edits(args, reactor)
     return rows_at(revision, newest["revision"], newest["rows"], edits)
 
 
-async def _edits(args: argparse.Namespace, reactor) -> list[dict]:
+async def _fetch_edits(args: argparse.Namespace, reactor) -> list[dict]:
     """Return the history, the newest edit first."""
-    reply = await _call(args, reactor, "GET", f"history?count={MOST_EDITS}")
+    reply = await _call(args, reactor, "GET", f"history?count={MAX_HISTORY_EDITS}")
     if reply.status != HTTPStatus.OK:
         raise UnreachableError(reply.body.get("reason", f"status {reply.status}"))
     return reply.body["edits"]
 
 
-# Changing.
+# Editing.
 
 
 def _add_set(parser: argparse.ArgumentParser) -> None:
     _add_edit(parser)
     parser.add_argument(
         "cells", nargs="+", metavar="ROW KNOB=VALUE",
-        help="a row and then its cells; an empty value empties the cell",
+        help="a row and its new cells; an empty value clears the cell",
     )  # fmt: skip
 
 
@@ -216,9 +224,9 @@
     if args.seen is None:
         args.seen = revision if file.revision is None else file.revision
     if file.revision is not None and file.revision != revision:
-        # Only what the author has changed: others' cells stay as they are now.
-        base = rows_at(file.revision, revision, base, await _edits(args, reactor))
-    cells = list(differences(base, file.rows))
+        # Import only the cells that the author has changed, not those that others changed since.
+        base = rows_at(file.revision, revision, base, await _fetch_edits(args, reactor))
+    cells = list(cells_to_edit(base, file.rows))
     if not cells:
         print("nothing differs")
         return ExitCode.OK
@@ -231,7 +239,7 @@
 
 
 async def _undo(args: argparse.Namespace, reactor) -> ExitCode:
-    edits = await _edits(args, reactor)
+    edits = await _fetch_edits(args, reactor)
     edit = next((e for e in edits if e["revision"] == args.revision), None)
     if edit is None:
         raise TableUsageError(f"the history does not hold revision {args.revision}")
@@ -264,10 +272,10 @@
         "why": args.why,
         "dry_run": args.dry_run,
     }
-    return _say(args, await _call(args, reactor, "POST", "edits", body))
+    return _print_reply(args, await _call(args, reactor, "POST", "edits", body))
 
 
-def _say(args: argparse.Namespace, reply: JsonReply) -> ExitCode:
+def _print_reply(args: argparse.Namespace, reply: JsonReply) -> ExitCode:
     body = reply.body
     if args.json:
         print_json(body)
@@ -301,11 +309,13 @@
     Command("table get", "Print one cell.", _add_get, _get),
     Command("table set", "Change cells of a row.", _add_set, _set),
     Command("table export", "Print the table as a file to edit and import.", _add_export, _export),
-    Command("table diff", "Show what has changed between two revisions.", _add_diff, _diff),
-    Command("table import", "Make the table as a CSV file has it.", _add_import, _import),
+    Command("table diff", "Show the changes between two revisions.", _add_diff, _diff),
+    Command(
+        "table import", "Change the table to the contents of a CSV file.", _add_import, _import
+    ),
     Command("table undo", "Undo an edit.", _add_undo, _undo),
     Command("table history", "Show the last edits.", _add_history, _history),
-    Command("table status", "Show which box has which revision.", add_operators, _status),
+    Command("table status", "Show the revision at each box.", add_operators, _status),
     Command("table knobs", "Explain the columns.", lambda _parser: None, _knobs),
 ]
 """The commands of this module."""
--- a/gladedrum/ctl/table_files.py
+++ b/gladedrum/ctl/table_files.py
@@ -1,4 +1,4 @@
-"""The table of weights and limits as a file, and what has changed between two revisions."""
+"""CSV files of the table of weights and limits, and the differences between its revisions."""
 
 import csv
 import io
@@ -9,8 +9,16 @@
 from ..table import KNOBS, CellValue
 
 __all__ = [
-    "CellChange", "Rows", "TableFile", "TableUsageError", "changes_between", "differences",
-    "parse_cell", "read_file", "rows_at", "to_file",
+    "CellChange",
+    "Rows",
+    "TableFile",
+    "TableUsageError",
+    "cells_to_edit",
+    "changes_between",
+    "parse_cell",
+    "read_file",
+    "rows_at",
+    "to_file",
 ]  # fmt: skip
 
 Rows = Mapping[str, Mapping[str, CellValue]]
@@ -18,24 +26,24 @@
 
 _NO_VALUE = ""
 _ROW_COLUMN = "row"
-_REVISION_MARK = "# revision "
-"""The first line of an exported file; an import is refused where others have changed since then
-what it changes."""
+_REVISION_PREFIX = "# revision "
+"""Prefix of the first line of an exported file. An import conflicts with later changes of the cells
+that it changes."""
 
 
 class TableUsageError(GladedrumError):
-    """What was given for the table makes no sense."""
+    """Invalid arguments or an invalid file for a command on the table."""
 
 
 class TableFile(NamedTuple):
-    """A file's cells, and the revision that it was exported at, None if it does not say."""
+    """The cells of a file, and the revision it was exported at; None if the file has none."""
 
     rows: dict[str, dict[str, CellValue]]
     revision: int | None
 
 
 class CellChange(TypedDict):
-    """A cell that differs; a value of None: it is empty."""
+    """A cell that differs; a value of None means an empty cell."""
 
     row: str
     knob: str
@@ -44,10 +52,10 @@
 
 
 def to_file(rows: Rows, revision: int | None = None) -> str:
-    """Return a table as CSV; with its revision in the first line, if one is given."""
+    """Return a table as CSV; the first line holds the revision if one is given."""
     out = io.StringIO()
     if revision is not None:
-        out.write(f"{_REVISION_MARK}{revision}\n")
+        out.write(f"{_REVISION_PREFIX}{revision}\n")
     writer = csv.DictWriter(out, [_ROW_COLUMN, *KNOBS], lineterminator="\n")
     writer.writeheader()
     for row, cells in sorted(rows.items()):
@@ -57,9 +65,9 @@
 
 
 def read_file(text: str) -> TableFile:
-    """Return what a file says; raises `TableUsageError` with every line that is wrong."""
+    """Parse a file; raises `TableUsageError` with all invalid lines."""
     revision, first_line = None, 2
-    if text.startswith(_REVISION_MARK):
+    if text.startswith(_REVISION_PREFIX):
         line, _, text = text.partition("\n")
         revision = _revision_of(line)
         first_line += 1
@@ -68,7 +76,7 @@
     for number, fields in enumerate(csv.DictReader(io.StringIO(text)), first_line):
         row = fields.pop(_ROW_COLUMN, None)
         if not row or None in fields:
-            problems.append(f"line {number}: there must be a row name and one value a column")
+            problems.append(f"line {number}: expected a row name and one value per column")
             continue
         try:
             cells = {k: parse_cell(row, k, v) for k, v in fields.items() if v}
@@ -81,32 +89,34 @@
 
 
 def _revision_of(line: str) -> int:
-    text = line.removeprefix(_REVISION_MARK).strip()
+    text = line.removeprefix(_REVISION_PREFIX).strip()
     if not text.isdecimal():
-        raise TableUsageError(f"line 1: {text!r} is no revision; leave the line out to import all")
+        raise TableUsageError(
+            f"line 1: {text!r} is not a revision; remove the line to import all cells"
+        )
     return int(text)
 
 
 def parse_cell(row: str, knob: str, text: str) -> CellValue | None:
-    """Return a cell's value, None for an empty text; raises `TableUsageError`."""
+    """Parse the value of a cell, None for an empty text; raises `TableUsageError`."""
     if text == _NO_VALUE:
         return None
     if knob not in KNOBS:
-        raise TableUsageError(f"{row} {knob}: there is no knob; there are {', '.join(KNOBS)}")
+        raise TableUsageError(f"{row} {knob}: unknown knob; use one of {', '.join(KNOBS)}")
     try:
         return KNOBS[knob].parse(text)
     except ValueError as exc:
         raise TableUsageError(f"{row} {knob}: {exc}") from exc
 
 
-def differences(have: Rows, want: Rows) -> Iterable[dict]:
-    """Yield the cells that make one table another, as an edit takes them."""
-    for change in changes_between(have, want):
+def cells_to_edit(before: Rows, after: Rows) -> Iterable[dict]:
+    """Yield the cells of an edit that changes the table `before` to `after`."""
+    for change in changes_between(before, after):
         yield {"row": change["row"], "knob": change["knob"], "value": change["after"]}
 
 
 def changes_between(before: Rows, after: Rows) -> list[CellChange]:
-    """Return every cell that differs, by row and in the order of the columns."""
+    """Return all cells that differ, sorted by row and in the order of the columns."""
     changes = []
     for row in sorted(before.keys() | after.keys()):
         old, new = before.get(row, {}), after.get(row, {})
@@ -124,19 +134,19 @@
     Parameters
     ----------
     revision : int
-        The revision that is asked for.
+        The requested revision.
     newest : int
         The revision of `rows`.
     rows : mapping
         The newest table.
     edits : iterable of dict
-        The history, the newest edit first; must go back to before `revision` where a cell was
-        last set.
+        The history, newest edit first. It must contain the edits before `revision` that last
+        set the cells changed since.
 
     Raises
     ------
     TableUsageError
-        If the revision is not there, or the history does not go back far enough.
+        If the revision does not exist, or the history does not reach back far enough.
     """
     edits = sorted(edits, key=lambda edit: edit["revision"])
     if not 0 <= revision <= newest:
@@ -145,17 +155,17 @@
     if len(undone) < newest - revision:
         oldest = edits[0]["revision"] if edits else newest
         raise TableUsageError(f"the history begins at {oldest}, after revision {revision}")
-    touched = {(cell["row"], cell["knob"]) for edit in undone for cell in edit["cells"]}
+    changed_since = {(cell["row"], cell["knob"]) for edit in undone for cell in edit["cells"]}
     earlier = {
         (cell["row"], cell["knob"]): cell["value"]
         for edit in edits
         if edit["revision"] <= revision
         for cell in edit["cells"]
     }
-    then = {row: dict(cells) for row, cells in rows.items()}
-    for row, knob in touched:
-        cells = then.setdefault(row, {})
+    earlier_rows = {row: dict(cells) for row, cells in rows.items()}
+    for row, knob in changed_since:
+        cells = earlier_rows.setdefault(row, {})
         cells.pop(knob, None)
         if earlier.get((row, knob)) is not None:
             cells[knob] = earlier[row, knob]
-    return {row: cells for row, cells in then.items() if cells}
+    return {row: cells for row, cells in earlier_rows.items() if cells}
--- a/gladedrum/ctl/tests/test_explain.py
+++ b/gladedrum/ctl/tests/test_explain.py
@@ -1,9 +1,9 @@
-"""A request's story is put together from the lines of several boxes."""
+"""The timeline of a request is built from the logs of several boxes."""
 
 import json
 
 from gladedrum.ctl.main import _parser, _run
-from gladedrum.ctl.story import read_rows, tell
+from gladedrum.ctl.story import build_timeline, parse_log_lines
 from gladedrum.utils import start
 
 
@@ -28,16 +28,16 @@
 
 
 def run(*argv):
-    """Run the command without a reactor, since one process can run only one."""
+    """Run the command without a reactor: a process can run a reactor only once."""
     codes = []
     start(_run(_parser().parse_args(argv), None)).addCallback(codes.append)
     return codes[0]
 
 
-def test_the_story_holds_the_requests_lines_and_those_of_its_targets_and_box():
-    story = tell("r1", read_rows(LINES))
-    told = [(row.time[-6:-4], row.box, row.message) for row in story.rows]
-    assert told == [
+def test_timeline_holds_lines_of_the_request_and_of_its_targets_and_box():
+    timeline = build_timeline("r1", parse_log_lines(LINES))
+    shown = [(row.time[-6:-4], row.box, row.message) for row in timeline.rows]
+    assert shown == [
         ("06", "b1", "request placed"),
         ("07", "b1", "try failed"),
         ("07", "b2", "target reports"),
@@ -45,23 +45,27 @@
         ("08", "b1", "configuration not read"),
         ("09", "b1", "request ended"),
     ]
-    assert story.summary.startswith("unknown with status 502: connection lost, after 3.0 s and 2")
-    assert story.missing == []
+    assert timeline.summary.startswith(
+        "unknown with status 502: connection lost, after 3.0 s and 2"
+    )
+    assert timeline.missing == []
 
 
-def test_what_is_missing_is_said():
-    assert tell("r9", read_rows(LINES)).missing
-    cut = [text for text in LINES if "try failed" not in text and '"t3"' not in text]
-    assert tell("r1", read_rows(cut)).missing == ["1 of 2 lines of its tries"]
-    assert "killed" in tell("r1", read_rows(LINES[1:])).missing[0]
+def test_missing_lines_are_reported():
+    assert build_timeline("r9", parse_log_lines(LINES)).missing
+    incomplete = [text for text in LINES if "try failed" not in text and '"t3"' not in text]
+    assert build_timeline("r1", parse_log_lines(incomplete)).missing == [
+        "1 of 2 lines of its tries"
+    ]
+    assert "killed" in build_timeline("r1", parse_log_lines(LINES[1:])).missing[0]
 
 
-def test_lines_that_are_no_rows_are_passed_over_and_prefixes_ignored():
-    rows = read_rows(["", "{", "[1]", "traceback", "  12.5 b1 " + LINES[0], '{"x": 1}'])
+def test_lines_without_json_are_skipped_and_prefixes_ignored():
+    rows = parse_log_lines(["", "{", "[1]", "traceback", "  12.5 b1 " + LINES[0], '{"x": 1}'])
     assert [row.message for row in rows] == ["request ended"]
 
 
-def test_the_command_reads_files(tmp_path, capsys):
+def test_command_reads_files(tmp_path, capsys):
     path = tmp_path / "b1.log"
     path.write_text("\n".join(LINES))
     assert run("explain", "r1", "--logs", str(path)) == 0
--- a/gladedrum/ctl/tests/test_report.py
+++ b/gladedrum/ctl/tests/test_report.py
@@ -1,4 +1,4 @@
-"""From the logs of boxes alone: how requests were served, and what their worth was lost for."""
+"""The report shows how requests were served and the causes of lost worth."""
 
 import json
 import sys
@@ -7,8 +7,8 @@
 
 from gladedrum.ctl.main import _parser, _run
 from gladedrum.ctl.service import Verdict, served_requests
-from gladedrum.ctl.service_tables import report_of
-from gladedrum.ctl.story import read_rows
+from gladedrum.ctl.service_tables import make_report
+from gladedrum.ctl.story import parse_log_lines
 from gladedrum.utils import start
 
 
@@ -36,11 +36,11 @@
 
 
 def only(lines):
-    (row,) = [r for r in served_requests(read_rows(lines)) if r.request_id == "r1"]
+    (row,) = [r for r in served_requests(parse_log_lines(lines)) if r.request_id == "r1"]
     return row
 
 
-def test_a_request_is_in_time_only_if_its_first_event_and_its_pauses_are():
+def test_request_is_in_time_only_with_first_event_and_pauses_in_time():
     assert only([ended(12, "r1")]).verdict is Verdict.IN_TIME
     assert only([ended(12, "r1", first_event_s=0.4)]).verdict is Verdict.LATE
     assert only([ended(12, "r1", longest_pause_s=0.6)]).verdict is Verdict.LATE
@@ -63,12 +63,12 @@
         ({"first_event_s": 0.9, "offered_s": 0.4}, Verdict.LATE, "waited for a place"),
     ],
 )  # fmt: skip
-def test_what_was_not_in_time_has_a_cause(fields, verdict, cause):
+def test_requests_that_were_not_in_time_have_a_cause(fields, verdict, cause):
     row = only([placed(10, "r1"), ended(12, "r1", **fields)])
     assert (row.verdict, row.cause) == (verdict, cause)
 
 
-def test_a_pause_is_put_on_the_long_prompt_that_came_beside_the_stream():
+def test_long_prompt_placed_beside_a_stream_is_the_cause_of_its_pause():
     paused = ended(12, "r1", longest_pause_s=1.2, pause_began_s=0.5)
     long = placed(10.6, "r2", target="t9", prompt_tokens=180_000, helpers=["t1"])
     assert "a long prompt" in only([placed(10, "r1"), long, paused]).cause
@@ -86,8 +86,8 @@
 ]  # fmt: skip
 
 
-def test_groups_add_up_and_causes_come_in_the_order_of_worth_lost():
-    report = report_of(served_requests(read_rows(LINES)), window_s=10.0)
+def test_groups_add_up_and_causes_are_sorted_by_worth_lost():
+    report = make_report(served_requests(parse_log_lines(LINES)), window_s=10.0)
     assert report.total["requests"] == 3
     assert sum(row["requests"] for row in report.windows) == 3
     assert [row["requests"] for row in report.windows] == [2, 1]
@@ -99,15 +99,15 @@
     assert report.total["worth_lost"] == pytest.approx(causes)
 
 
-def test_kinds_say_what_they_are_and_deciders_what_they_left_unanswered():
-    asked = [
+def test_kinds_are_described_and_unanswered_queries_counted_by_decider():
+    placements = [
         line(10, "request placed", "r1", target="t1", helper_names=[], decided_by="b7.1"),
         line(10, "request placed", "r2", target="t1", helper_names=[], decided_by="b7.1"),
         line(10, "request placed", "r3", target="t1", helper_names=[], decided_by=""),
         line(11, "no placement from peer", "", peer="b9.1", waited_s=0.04),
     ]
-    rows = list(read_rows([*LINES, *asked]))
-    report = report_of(served_requests(rows), 10.0, rows)
+    rows = list(parse_log_lines([*LINES, *placements]))
+    report = make_report(served_requests(rows), 10.0, rows)
     assert {row["name"]: row["about"] for row in report.kinds}["quick"] == "stream, 0.3 s"
     (first, *_rest) = report.deciders
     assert first["name"] == ""
@@ -116,12 +116,12 @@
     assert by_name["b9.1"]["unanswered"] == 1
 
 
-def test_reasons_that_differ_in_the_engines_they_name_count_together():
+def test_reasons_that_differ_only_in_names_of_engines_are_counted_together():
     rows = [
         ended(12, f"r{i}", outcome="not-run", reason=f"no memory at {names}", offered_s=None)
         for i, names in enumerate(["i-40b55510cb", "i-a56e09b57f, i-1", "i-7, i-8, i-9"])
     ]
-    report = report_of(served_requests(read_rows(rows)), 10.0)
+    report = make_report(served_requests(parse_log_lines(rows)), 10.0)
     assert [(row["cause"], row["requests"]) for row in report.causes] == [("no memory at N", 3)]
 
 
@@ -131,17 +131,17 @@
     return codes[0]
 
 
-def test_the_command_prints_tables_or_json_and_draws_a_picture(tmp_path, capsys):
-    log, picture = tmp_path / "box.log", tmp_path / "report.png"
+def test_command_prints_tables_or_json_and_draws_a_plot(tmp_path, capsys):
+    log, plot = tmp_path / "box.log", tmp_path / "report.png"
     log.write_text("\n".join(LINES))
-    assert run("report", "--logs", str(log), "--plot", str(picture)) == 0
+    assert run("report", "--logs", str(log), "--plot", str(plot)) == 0
     assert "no target has room" in capsys.readouterr().out
-    assert picture.stat().st_size > 10_000
+    assert plot.stat().st_size > 10_000
     assert run("--json", "report", "--logs", str(log)) == 0
     assert json.loads(capsys.readouterr().out)["total"]["refused"] == 1
 
 
-def test_without_the_library_for_pictures_the_report_is_printed_and_the_extra_named(
+def test_without_matplotlib_the_report_is_printed_and_the_extra_named(
     tmp_path, capsys, monkeypatch
 ):
     monkeypatch.setitem(sys.modules, "matplotlib.figure", None)
@@ -153,7 +153,7 @@
     assert "extra 'plots'" in printed.err
 
 
-def test_wrong_files_and_windows_are_refused(tmp_path, capsys):
+def test_invalid_files_and_windows_are_usage_errors(tmp_path, capsys):
     assert run("report", "--logs", str(tmp_path / "none")) == 2
     assert run("report", "--logs", "/dev/null", "--window", "0") == 2
     assert run("report", "--logs", "/dev/null") == 1
--- a/gladedrum/ctl/tests/test_table_files.py
+++ b/gladedrum/ctl/tests/test_table_files.py
@@ -1,4 +1,4 @@
-"""The table as a file: what is exported can be edited and imported, and nobody's cells are lost."""
+"""An exported table can be edited and imported without overwriting the cells of others."""
 
 import json
 
@@ -22,24 +22,24 @@
 ]  # fmt: skip
 
 
-def test_an_exported_table_is_read_back_with_its_revision():
+def test_exported_table_is_read_back_with_its_revision():
     file = read_file(to_file(ROWS, 4))
     assert file.rows == ROWS
     assert file.revision == 4
     assert read_file(to_file(ROWS)).revision is None
 
 
-def test_all_that_is_wrong_with_a_file_is_said_with_its_line():
+def test_all_invalid_lines_of_a_file_are_reported():
     text = to_file(ROWS, 4).replace("class:quick,5", "class:quick,many") + ",1\n"
     with pytest.raises(TableUsageError) as raised:
         read_file(text)
     assert "line 3" in str(raised.value)
     assert "line 5" in str(raised.value)
-    with pytest.raises(TableUsageError, match="is no revision"):
+    with pytest.raises(TableUsageError, match="is not a revision"):
         read_file("# revision x\nrow\n")
 
 
-def test_a_table_is_told_as_it_was():
+def test_table_at_an_earlier_revision():
     assert rows_at(4, 4, ROWS, EDITS) == ROWS
     assert rows_at(2, 4, ROWS, EDITS) == {
         "default": {"weight": 2.0},
@@ -54,19 +54,19 @@
 
 @pytest.fixture
 def operators(monkeypatch):
-    """Answer calls as a box's operators' interface does; keep the edits that are asked for."""
-    asked = []
+    """Fake the operators' interface of a box; returns the edits that were posted."""
+    edits = []
 
     async def call(_args, _reactor, method, path, body=None):
         if method == "POST":
-            asked.append(body)
+            edits.append(body)
             return JsonReply(200, {"result": "accepted", "revision": 5})
         if path.startswith("history"):
             return JsonReply(200, {"edits": EDITS})
         return JsonReply(200, {"revision": 4, "rows": ROWS})
 
     monkeypatch.setattr(table, "_call", call)
-    return asked
+    return edits
 
 
 def run(*argv):
@@ -87,8 +87,10 @@
     assert run("table", "diff", "9") != 0
 
 
-def test_an_old_file_changes_only_what_its_author_changed(operators, capsys, tmp_path):
-    """Operators race: an import of an old file would have set back what others had changed."""
+def test_import_of_an_old_file_changes_only_the_cells_its_author_changed(
+    operators, capsys, tmp_path
+):
+    """Guards against an import of an old file that reverts the changes of other operators."""
     assert run("table", "export", "--at", "2") == 0
     text = capsys.readouterr().out
     path = tmp_path / "table.csv"
--- a/gladedrum/ctl/traces.py
+++ b/gladedrum/ctl/traces.py
@@ -1,4 +1,4 @@
-"""``gladedrumctl trace``, ``replay`` and ``compare``: policies on the same traffic."""
+"""``gladedrumctl trace``, ``replay`` and ``compare``: scheduling policies on the same traffic."""
 
 import argparse
 import sys
@@ -26,13 +26,23 @@
 def _add_make(parser: argparse.ArgumentParser) -> None:
     default = Workload()
     add = parser.add_argument
-    add("file", metavar="TRACE", help="where to write it")
-    add("--seed", type=int, default=default.seed, help="of the random numbers")
+    add("file", metavar="TRACE", help="file to write")
+    add("--seed", type=int, default=default.seed, help="seed of the random generator")
     add("--seconds", type=float, default=default.duration_s, help="length of the trace")
-    add("--engines", type=int, default=default.engines, help="engines that the load is for")
-    add("--load", type=float, default=default.load, help="share of the engines' time")
-    add("--organisations", type=int, default=default.organisations, help="how many ask")
-    add("--longest", type=int, default=default.longest_tokens, help="longest prompt, tokens")
+    add(
+        "--engines",
+        type=int,
+        default=default.engines,
+        help="number of engines that the load is scaled to",
+    )
+    add(
+        "--load",
+        type=float,
+        default=default.load,
+        help="share of the engines' time that the load takes",
+    )
+    add("--organisations", type=int, default=default.organisations, help="number of organisations")
+    add("--longest", type=int, default=default.longest_tokens, help="longest prompt in tokens")
 
 
 async def _make(args: argparse.Namespace, reactor) -> ExitCode:
@@ -53,12 +63,17 @@
 
 def _add_compare(parser: argparse.ArgumentParser) -> None:
     add = parser.add_argument
-    add("policies", nargs="+", metavar="POLICY", help=f"of {', '.join(policy_names())}")
-    add("--trace", metavar="TRACE", help="the trace; the default workload if left out")
-    add("--engines", type=int, default=18, help="engines of the fleet")
-    add("--lose", type=int, default=0, metavar="ENGINES", help="how many engines die")
-    add("--lose-at", type=float, default=60.0, metavar="SECONDS", help="when they die")
-    add("--picture", metavar="FILE.png", help="also draw the comparison")
+    add(
+        "policies",
+        nargs="+",
+        metavar="POLICY",
+        help=f"policies to compare, of {', '.join(policy_names())}",
+    )
+    add("--trace", metavar="TRACE", help="the trace; default: a trace of the default workload")
+    add("--engines", type=int, default=18, help="number of engines in the fleet")
+    add("--lose", type=int, default=0, metavar="ENGINES", help="number of engines that fail")
+    add("--lose-at", type=float, default=60.0, metavar="SECONDS", help="time of their failure")
+    add("--picture", metavar="FILE.png", help="also draw the comparison to a file")
 
 
 async def _compare(args: argparse.Namespace, reactor) -> ExitCode:
@@ -85,7 +100,7 @@
         help="callers' address of a box; may be repeated; default http://127.0.0.1:8080",
     )
     add("--model", default="standin", help="the model to ask")
-    add("--speed", type=float, default=1.0, help="seconds of the trace in one second")
+    add("--speed", type=float, default=1.0, help="seconds of the trace replayed per second")
 
 
 async def _replay(args: argparse.Namespace, reactor) -> ExitCode:
@@ -108,8 +123,10 @@
 
 
 COMMANDS = [
-    Command("trace make", "Draw a trace from the default workload.", _add_make, _make),
-    Command("replay", "Drive live boxes from a trace.", _add_replay, _replay),
-    Command("compare", "Replay a trace under several policies.", _add_compare, _compare),
+    Command("trace make", "Generate a trace of the default workload.", _add_make, _make),
+    Command("replay", "Replay a trace against running boxes.", _add_replay, _replay),
+    Command(
+        "compare", "Compare policies on a trace, with simulated engines.", _add_compare, _compare
+    ),
 ]
 """The commands of this module."""
--- a/gladedrum/ctl/trial.py
+++ b/gladedrum/ctl/trial.py
@@ -1,4 +1,4 @@
-"""``gladedrumctl try``: a short and a long prompt at once."""
+"""``gladedrumctl try``: sends a long prompt and, while it runs, a short one."""
 
 import argparse
 
@@ -12,12 +12,19 @@
 
 _BYTES_PER_TOKEN = 4
 _HEAD_START_S = 0.5
+"""How long before the short prompt the long one is sent."""
+
 _TIMEOUT_S = 120.0
 
 
 def _add_arguments(parser: argparse.ArgumentParser) -> None:
     add = parser.add_argument
-    add("--callers", default="http://127.0.0.1:8080", metavar="URL", help="address for callers")
+    add(
+        "--callers",
+        default="http://127.0.0.1:8080",
+        metavar="URL",
+        help="callers' address of a box",
+    )
     add("--model", default="standin", help="the model to ask")
     add("--short-tokens", type=int, default=1_000, help="length of the short prompt")
     add("--long-tokens", type=int, default=60_000, help="length of the long prompt")
@@ -57,6 +64,6 @@
 
 
 COMMANDS = [
-    Command("try", "Send a short and a long prompt at once.", _add_arguments, _run),
+    Command("try", "Send a long prompt and, while it runs, a short one.", _add_arguments, _run),
 ]
 """The commands of this module."""
