--- a/gladedrum/ctl/service.py
+++ b/gladedrum/ctl/service.py
@@ -20,7 +20,7 @@
 __all__ = ["ServedRequest", "Verdict", "served_requests"]
 
 LONG_PROMPT_TOKENS = 8_000
-"""Prompt tokens on a target from which a prompt counts as the cause of a stream's pause there."""
+"""A prompt of at least this many tokens on a target can be the cause of a stream's pause there."""
 
 WAIT_SHARE = 0.25
 """Share of its objective after which a request without an attempt counts as waiting for a place."""
@@ -230,7 +230,7 @@
     placed: Sequence[LogRow],
     long_prompts: dict[str, list[_PlacedPrompt]],
 ) -> bool:
-    """Whether a long prompt came to the first target before the longest pause ended."""
+    """Whether a long prompt was placed on the first target before the longest pause ended."""
     if not placed:
         return False
     paused_s = fields.get("pause_began_s", 0.0) + fields.get("longest_pause_s", 0.0)
--- a/gladedrum/ctl/story.py
+++ b/gladedrum/ctl/story.py
@@ -79,9 +79,9 @@
     """
     rows = []
     for line in lines:
-        begin = line.find("{")
+        start = line.find("{")
         try:
-            row = json.loads(line[begin:]) if begin >= 0 else None
+            row = json.loads(line[start:]) if start >= 0 else None
         except ValueError:
             continue
         if isinstance(row, dict) and "message" in row:
--- a/gladedrum/ctl/traces.py
+++ b/gladedrum/ctl/traces.py
@@ -81,12 +81,12 @@
         policy(name)
     rows = read_trace(args.trace) if args.trace else make_trace(Workload(engines=args.engines))
     fleet = LocalFleet(args.engines, lost_engines=args.lose, lost_at_s=args.lose_at)
-    found = compare_locally(
+    results = compare_locally(
         rows, args.policies, fleet, lambda name: print(f"replaying {name}", file=sys.stderr)
     )
     if args.picture:
-        draw_comparison(found, args.picture)
-    _show(args, found)
+        draw_comparison(results, args.picture)
+    _show(args, results)
     return ExitCode.OK
 
 
@@ -99,7 +99,7 @@
         metavar="URL",
         help="callers' address of a box; may be repeated; default http://127.0.0.1:8080",
     )
-    add("--model", default="standin", help="the model to ask")
+    add("--model", default="standin", help="model that the requests name")
     add("--speed", type=float, default=1.0, help="seconds of the trace replayed per second")
 
 
@@ -107,19 +107,19 @@
     rows = read_trace(args.trace)
     urls = args.callers or ["http://127.0.0.1:8080"]
     records = await replay_live(rows, urls, args.model, reactor, args.speed)
-    found = [figures("live", records, [])]
-    _show(args, found)
+    results = [figures("live", records, [])]
+    _show(args, results)
     failed = any(record.outcome == "failed" for record in records)
     return ExitCode.FAILED if failed else ExitCode.OK
 
 
-def _show(args: argparse.Namespace, found: list) -> None:
+def _show(args: argparse.Namespace, results: list) -> None:
     if args.json:
-        print_json(found)
+        print_json(results)
         return
-    print_table(HEADING, comparison_rows(found))
+    print_table(HEADING, comparison_rows(results))
     print()
-    print_table(SUMMARY_HEADING, summary_rows(found))
+    print_table(SUMMARY_HEADING, summary_rows(results))
 
 
 COMMANDS = [
--- a/gladedrum/ctl/trial.py
+++ b/gladedrum/ctl/trial.py
@@ -25,7 +25,7 @@
         metavar="URL",
         help="callers' address of a box",
     )
-    add("--model", default="standin", help="the model to ask")
+    add("--model", default="standin", help="model that the requests name")
     add("--short-tokens", type=int, default=1_000, help="length of the short prompt")
     add("--long-tokens", type=int, default=60_000, help="length of the long prompt")
     add("--answer-tokens", type=int, default=32, help="length of the answers")
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -296,9 +296,9 @@
         """Return the revision of the table at each listed box; None if a box does not answer."""
         me = self.membership.me.name
         boxes = [b for b in self.membership.directory.boxes if b.name != me]
-        asked = [start(self._table_state(box)) for box in boxes]
+        states = [start(self._table_state(box)) for box in boxes]
         own = TableState(box=me, revision=self.table.table.revision, age_s=self.table.age_s)
-        return [own, *await defer.gatherResults(asked)]
+        return [own, *await defer.gatherResults(states)]
 
     async def _table_state(self, box: Box) -> TableState:
         try:
--- a/gladedrum/daemon/tests/test_clock.py
+++ b/gladedrum/daemon/tests/test_clock.py
@@ -86,7 +86,7 @@
 
 
 def test_suspended_time_counts(reactor, clocks):
-    """Meanwhile a key may be revoked, a target may leave and a deadline may pass."""
+    """A key may be revoked, a target may leave and a deadline may pass during a suspension."""
     configuration = ConfigurationKeeper(reactor, NoFeed(), 2.0, None)
     configuration._apply(RouteTable(1))
     configuration._vouch(reactor.seconds())
