--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -29,9 +29,13 @@
 from gladedrum.placing.fleet_view import FleetView
 from gladedrum.placing.placer import HOPELESS
 from gladedrum.routes import Service
-from gladedrum.scheduling import arrivals, credit
+from gladedrum.scheduling import arrivals, expected_loss
 from gladedrum.scheduling.engine_model import EngineTraits
-from gladedrum.scheduling.ledger import CALLER_WAIT_PAUSES_X, CALLER_WAIT_S, CALLER_WAIT_X
+from gladedrum.scheduling.ledger import (
+    CALLER_WAIT_OBJECTIVE_FACTOR,
+    CALLER_WAIT_PAUSE_FACTOR,
+    MIN_CALLER_WAIT_S,
+)
 
 TRAITS = EngineTraits(
     slots=12, memory_tokens=382_500, step_s=0.000925, per_writer_s=4.83e-6,
@@ -75,8 +79,8 @@
     @property
     def patience_s(self) -> float:
         """How long a caller waits for an event, in seconds."""
-        pauses_s = CALLER_WAIT_PAUSES_X * self.pause_s
-        return max(CALLER_WAIT_S, CALLER_WAIT_X * self.first_s, pauses_s)
+        pauses_s = CALLER_WAIT_PAUSE_FACTOR * self.pause_s
+        return max(MIN_CALLER_WAIT_S, CALLER_WAIT_OBJECTIVE_FACTOR * self.first_s, pauses_s)
 
     def worth_of(self, prompt: float) -> float:
         """Return what a request of this kind is worth in time, by its length."""
@@ -175,7 +179,7 @@
             "hall", "", asked.at_s + lost_s,
         )  # fmt: skip
         choice = self._chooser.choose(demand, ())
-        if choice is None or choice.lost_chance > HOPELESS:
+        if choice is None or choice.abandon_chance > HOPELESS:
             return
         stream = Stream(asked.at_s, asked.answer, len(choice.names), kind.patience_s)
         work_id = f"box_{len(self._streams)}"
@@ -236,23 +240,25 @@
     return kind.worth_of(prompt)
 
 
-def _no_exposure(*_args) -> Callable[[credit.Candidate], float]:
+def _no_exposure(*_args) -> Callable[[expected_loss.Candidate], float]:
     return lambda _candidate: 0.0
 
 
 WAYS: dict[str, Callable[[], AbstractContextManager]] = {
     "as it stands": nullcontext,
     "worth by kind": lambda: patch.object(choosing, "worth_of", _worth_by_kind),
-    "no exposure": lambda: patch.object(credit, "_exposure", _no_exposure),
+    "no exposure": lambda: patch.object(expected_loss, "_exposure", _no_exposure),
     "arrivals remembered for 12 s": lambda: patch.object(arrivals, "MEMORY_S", 12.0),
-    "idle engines cost nothing": lambda: patch.object(credit, "IDLE_COST", 0.0),
-    "idle engines cost 0.12": lambda: patch.object(credit, "IDLE_COST", 0.12),
-    "limits from 0.8 on": lambda: patch.object(credit, "MARGIN", 0.8),
-    "limits from 0.95 on": lambda: patch.object(credit, "MARGIN", 0.95),
-    "limits softer, 0.15": lambda: patch.object(credit, "SOFTNESS", 0.15),
-    "limits harder, 0.06": lambda: patch.object(credit, "SOFTNESS", 0.06),
-    "all engines quoted": lambda: patch.object(credit, "USUAL_QUOTED", 10_000),
-    "12 parts at the most": lambda: patch.object(credit, "PART_COUNTS", credit.PART_COUNTS[:9]),
+    "idle engines cost nothing": lambda: patch.object(expected_loss, "IDLE_COST", 0.0),
+    "idle engines cost 0.12": lambda: patch.object(expected_loss, "IDLE_COST", 0.12),
+    "limits from 0.8 on": lambda: patch.object(expected_loss, "MARGIN", 0.8),
+    "limits from 0.95 on": lambda: patch.object(expected_loss, "MARGIN", 0.95),
+    "limits softer, 0.15": lambda: patch.object(expected_loss, "SOFTNESS", 0.15),
+    "limits harder, 0.06": lambda: patch.object(expected_loss, "SOFTNESS", 0.06),
+    "all engines quoted": lambda: patch.object(expected_loss, "DEFAULT_QUOTED_ENGINES", 10_000),
+    "12 parts at the most": lambda: patch.object(
+        expected_loss, "PART_COUNTS", expected_loss.PART_COUNTS[:9]
+    ),
 }
 """What is compared; each stands for a decision while its context is entered."""
 
--- a/gladedrum/ctl/service.py
+++ b/gladedrum/ctl/service.py
@@ -14,7 +14,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from ..scheduling.credit import LATE_LOSS, worth_of
+from ..scheduling.expected_loss import LATE_LOSS, worth_of
 from .story import LogRow, time_of_day_s
 
 __all__ = ["ServedRequest", "Verdict", "served_requests"]
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -20,11 +20,11 @@
     Refused,
     TargetView,
     best_refusal,
-    jobs_of,
     order_by_cost,
     plan_segments,
     policy,
     reservation_order,
+    segment_jobs,
 )
 from ..scheduling.policies import UnknownPolicyError
 from ..targets.owner import DEFAULT_POLICY, RENEWAL
@@ -210,7 +210,7 @@
     def _jobs_of(self, job: Job, model: str, policy_name: str) -> list[Job]:
         memories = [t.memory_tokens for t in self._membership.directory.engines(model)]
         rule = policy(policy_name).segments
-        return jobs_of(job, min(memories, default=0), len(memories), rule)
+        return segment_jobs(job, min(memories, default=0), len(memories), rule)
 
     def _candidates(
         self, jobs: list[Job], model: str, policy_name: str, exclude: frozenset[str]
--- a/gladedrum/forward/life.py
+++ b/gladedrum/forward/life.py
@@ -20,8 +20,8 @@
 from ..placing.reports import read_report
 from ..platform.heads import CallerMarks
 from ..routes import Route
-from ..scheduling.credit import worth_of
 from ..scheduling.engine_model import EngineTraits
+from ..scheduling.expected_loss import worth_of
 from ..utils import sleep, start
 from .admission import Admitted
 from .caller_answer import CallerAnswer
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -21,7 +21,11 @@
 from ..outcome import Completed
 from ..platform.heads import answer_marks
 from ..routes import Route
-from ..scheduling.ledger import CALLER_WAIT_PAUSES_X, CALLER_WAIT_S, CALLER_WAIT_X
+from ..scheduling.ledger import (
+    CALLER_WAIT_OBJECTIVE_FACTOR,
+    CALLER_WAIT_PAUSE_FACTOR,
+    MIN_CALLER_WAIT_S,
+)
 from .caller_answer import CallerAnswer
 from .try_ends import (
     NOT_RUN_STATUSES,
@@ -290,9 +294,9 @@
 def caller_timeout_s(route: Route) -> float:
     """Return how long a caller waits for an event before it closes the stream, in seconds."""
     return max(
-        CALLER_WAIT_S,
-        CALLER_WAIT_X * route.objective_s,
-        CALLER_WAIT_PAUSES_X * route.pause_objective_s,
+        MIN_CALLER_WAIT_S,
+        CALLER_WAIT_OBJECTIVE_FACTOR * route.objective_s,
+        CALLER_WAIT_PAUSE_FACTOR * route.pause_objective_s,
     )
 
 
--- a/gladedrum/forward/tests/test_hedging_review.py
+++ b/gladedrum/forward/tests/test_hedging_review.py
@@ -208,7 +208,7 @@
     caller.ask(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
     world.attempt().reply(stream_head() + chunk(event(1)))
     exhaust_retry_budget(world)
-    before = len(world.view.long_reads._arrivals)
+    before = len(world.view.long_prompt_arrivals._arrivals)
     wait_with_reports(world, 4.0)
     assert len(world.net.opened) == 1
-    assert len(world.view.long_reads._arrivals) == before
+    assert len(world.view.long_prompt_arrivals._arrivals) == before
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -11,9 +11,9 @@
 from ..beliefs.target_list import TargetKeeper
 from ..fleet import TargetEntry
 from ..routes import Service
-from ..scheduling.credit import Candidate, Job, worth_of
 from ..scheduling.engine_model import EngineTraits
-from ..scheduling.placements import place_by
+from ..scheduling.expected_loss import Candidate, Job, worth_of
+from ..scheduling.placement_policies import place_by
 from ..scheduling.suspects import Standing
 from .apart import separate_suspects
 from .fleet_view import FleetView
@@ -103,7 +103,7 @@
         service.
     decided_by : str
         The box that decided, empty if this one.
-    lost_chance : float
+    abandon_chance : float
         Probability that the caller leaves before the first event.
     """
 
@@ -115,7 +115,7 @@
     first_event_s: float = 0.0
     pause_s: float = 0.0
     decided_by: str = ""
-    lost_chance: float = 0.0
+    abandon_chance: float = 0.0
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -318,7 +318,9 @@
             demand.pause_limit_s,
             demand.lost_s - now_s,
         )
-        placement = place_by(demand.policy, traits, candidates, job, now_s, self._view.long_reads)
+        placement = place_by(
+            demand.policy, traits, candidates, job, now_s, self._view.long_prompt_arrivals
+        )
         if placement is None:
             return None
         return Choice(
@@ -329,7 +331,7 @@
             placement.loss,
             placement.first_event_s,
             placement.pause_s,
-            lost_chance=placement.lost_chance,
+            abandon_chance=placement.abandon_chance,
         )
 
     def _candidate(
--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -16,7 +16,7 @@
 from ..beliefs.membership import BoxRegistry
 from ..errors import KVConflictError, KVUnavailableError, KVUnknownError
 from ..platform.store import NEVER, StoreClient, StoredItem
-from ..scheduling.suspects import KEPT_S, Condemned, Loss, TargetStart, Verdict
+from ..scheduling.suspects import LOSS_RETENTION_S, Condemned, Loss, TargetStart, Verdict
 from ..utils import sleep, start
 from .suspicion import Suspicion
 
@@ -95,7 +95,7 @@
                 await sleep(self._clock, POLL_S)
         # Does not return, since a supervised task that returns is restarted.
         while True:
-            await sleep(self._clock, KEPT_S)
+            await sleep(self._clock, LOSS_RETENTION_S)
 
     def _should_read(self, waited_s: float) -> bool:
         reads_for_others = self._registry.revision != NEVER and self._is_reader()
@@ -142,7 +142,7 @@
         value = json.dumps(body).encode()
         for _ in range(MAX_ATTEMPTS):
             try:
-                lease = await self._store.grant_lease(KEPT_S)
+                lease = await self._store.grant_lease(LOSS_RETENTION_S)
                 await self._store.transact({}, {_key(row.digest): value}, lease=lease)
                 return
             except _STORE_ERRORS as exc:
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -15,11 +15,11 @@
 from .. import gossip
 from ..fleet import TargetReport
 from ..gossip.wire.ttypes import Gossip, ReportNote, WorkNote
-from ..scheduling.arrivals import LongReads
+from ..scheduling.arrivals import LongPromptArrivals
 from ..scheduling.engine_model import EngineTraits
 from ..scheduling.ledger import EngineLedger, LedgerRow, Stake
 from ..scheduling.rates import NamedRate, interval_s, settle_rate
-from ..scheduling.suspects import SuspectBook, TargetStart
+from ..scheduling.suspects import SuspectTracker, TargetStart
 from .work_plan import WorkPlan, box_of, plan_of
 
 __all__ = ["FleetView", "TargetState", "shown_age_s"]
@@ -163,11 +163,11 @@
 
     Attributes
     ----------
-    long_reads : LongReads
+    long_prompt_arrivals : LongPromptArrivals
         The long prompts that were placed recently.
     on_reborn : callable
         Called with the name of a target that has restarted.
-    suspects : SuspectBook
+    suspects : SuspectTracker
         The requests that may end targets; this class reports ends of targets to it.
     """
 
@@ -175,9 +175,9 @@
         self, traits_of: Callable[[str], EngineTraits] = lambda _target: EngineTraits()
     ) -> None:
         self._traits_of = traits_of
-        self.long_reads = LongReads()
+        self.long_prompt_arrivals = LongPromptArrivals()
         self.on_reborn: Callable[[str], None] = lambda _target: None
-        self.suspects = SuspectBook()
+        self.suspects = SuspectTracker()
         self._suspect_plans: dict[str, WorkPlan] = {}
         self._states: dict[str, TargetState] = defaultdict(TargetState)
         self._rate_limited: set[str] = set()
@@ -231,7 +231,7 @@
         parts = len(plan.targets)
         if plan.digest:
             self._suspect_plans[plan.work_id] = plan
-        self.long_reads.note(plan.prompt_tokens, parts, now_s)
+        self.long_prompt_arrivals.note(plan.prompt_tokens, parts, now_s)
         for index, target in enumerate(plan.targets):
             main = index == 0
             row = LedgerRow(
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -144,7 +144,7 @@
         if choice is None:
             reopens_s = self._chooser.reopens_s(demand)
             return None if reopens_s is None else AllClosed(reopens_s)
-        if choice.lost_chance > HOPELESS and not demand.committed:
+        if choice.abandon_chance > HOPELESS and not demand.committed:
             wait_s = choice.first_event_s - (demand.first_due_s - self._clock.seconds())
             return Hopeless(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
         plan = self._chooser.plan(work_id, demand, choice)
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -24,7 +24,7 @@
 from ..beliefs.target_list import TargetKeeper
 from ..gossip.port import GossipPort
 from ..gossip.wire.ttypes import Gossip, PlaceAsk, PlaceGrant, RateNote, SpentNote
-from ..scheduling.rates import LONGEST_CLOSED_S, SUBSTITUTE_SHARE, NamedRate, RateBook
+from ..scheduling.rates import MAX_INTERVAL_S, SUBSTITUTE_SHARE, NamedRate, RateLimiter
 from .fleet_view import FleetView
 from .reports import order_of
 
@@ -98,8 +98,8 @@
         self._port = port
         self._boxes = boxes
         self._on_place = on_place
-        self._book = RateBook()
-        self._own_share = RateBook()
+        self._book = RateLimiter()
+        self._own_share = RateLimiter()
         self._ids = itertools.count(1)
         self._waiting: dict[int, defer.Deferred[PlaceGrant | None]] = {}
         self._missed: dict[str, int] = {}
@@ -126,7 +126,7 @@
         first = self._order(target)[0]
         address = self._circle.address(first)
         if first == self._circle.me or address is None:
-            self._book.spend(target, state.born, state.rate.per_s, self._clock.seconds())
+            self._book.charge(target, state.born, state.rate.per_s, self._clock.seconds())
         else:
             self._port.tell_spent(address, SpentNote(target, state.born, state.rate.per_s))
 
@@ -181,12 +181,12 @@
         state = self._view.state(target)
         if state.rate is not None and self._order(target)[0] == self._circle.me:
             now_s = self._clock.seconds()
-            self._book.give_back(target, state.born, state.rate.per_s, now_s)
+            self._book.refund(target, state.born, state.rate.per_s, now_s)
 
     async def _request_place(self, target: str, rate: NamedRate) -> tuple[str, float, float]:
         """Return who has decided, the wait (0 if granted), and the time until the next place."""
         born = self._view.state(target).born
-        max_closed_s = LONGEST_CLOSED_S
+        max_closed_s = MAX_INTERVAL_S
         for member in self._order(target)[:MAX_MEMBERS_ASKED]:
             if member == self._circle.me:
                 wait_s, next_s = self._take_locally(target, born, rate.per_s)
@@ -197,7 +197,7 @@
                 return member, 0.0 if answer.granted else (next_s or max_closed_s), next_s
             max_closed_s = MAX_SUBSTITUTE_CLOSED_S
         per_s = SUBSTITUTE_SHARE * rate.per_s / max(1, self._boxes())
-        wait_s = self._own_share.take(target, born, per_s, self._clock.seconds())
+        wait_s = self._own_share.acquire(target, born, per_s, self._clock.seconds())
         return self._circle.me, min(max_closed_s, wait_s), 0.0
 
     def _take_locally(self, target: str, born: int, per_s: float) -> tuple[float, float]:
@@ -207,7 +207,7 @@
             per_s *= SUBSTITUTE_SHARE
         elif rate is not None:
             self._book.begin(target, born, rate.since_s)
-        wait_s = self._book.take(target, born, per_s, now_s)
+        wait_s = self._book.acquire(target, born, per_s, now_s)
         return wait_s, self._book.next_s(target, born, per_s, now_s)
 
     async def _ask(self, member: str, target: str, born: int, per_s: float) -> PlaceGrant | None:
@@ -239,7 +239,7 @@
             if self._knows(note.target, note.born):
                 per_s = self._rate_of(note.target, note.per_s)
                 now_s = self._clock.seconds()
-                self._book.spend(note.target, self._view.state(note.target).born, per_s, now_s)
+                self._book.charge(note.target, self._view.state(note.target).born, per_s, now_s)
         for ask in message.place_asks or ():
             self._port.grant_place(address, self._answer(ask))
         for grant in message.place_grants or ():
@@ -258,7 +258,7 @@
 
     def _answer(self, ask: PlaceAsk) -> PlaceGrant:
         if not self._knows(ask.target, ask.born):
-            return PlaceGrant(ask.ask_id, False, LONGEST_CLOSED_S)
+            return PlaceGrant(ask.ask_id, False, MAX_INTERVAL_S)
         per_s = self._rate_of(ask.target, ask.per_s)
         wait_s, next_s = self._take_locally(ask.target, self._view.state(ask.target).born, per_s)
         return PlaceGrant(ask.ask_id, not wait_s, wait_s or next_s)
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -14,7 +14,7 @@
 from gladedrum.placing.condemned_record import CONDEMNED_PREFIX, CondemnedRecord
 from gladedrum.placing.fleet_view import FleetView
 from gladedrum.placing.suspicion import Suspicion
-from gladedrum.scheduling.suspects import KEPT_S, Standing, TargetStart
+from gladedrum.scheduling.suspects import LOSS_RETENTION_S, Standing, TargetStart
 from gladedrum.utils import start
 
 BOXES = 9
@@ -165,7 +165,7 @@
     fleet.condemn()
     fleet.run(1.0)
     leases = [until_s - fleet.clock.seconds() for until_s in fleet.store._until_s.values()]
-    assert max(leases) == pytest.approx(KEPT_S, abs=2.0)
+    assert max(leases) == pytest.approx(LOSS_RETENTION_S, abs=2.0)
 
 
 def test_invalid_entries_in_the_store_are_skipped():
--- a/gladedrum/replay/local.py
+++ b/gladedrum/replay/local.py
@@ -25,10 +25,10 @@
     TargetQueue,
     TargetView,
     best_refusal,
-    jobs_of,
     order_by_cost,
     policy,
     reservation_order,
+    segment_jobs,
 )
 from ..standins.engine_core import BLOCK_TOKENS, EngineCore, EngineSpec, Piece, Session
 from .trace import TraceRow
@@ -163,7 +163,7 @@
             if not e.dead
         ]
         memory_tokens = self._fleet.spec.memory_tokens
-        jobs = jobs_of(req.job, memory_tokens, len(views), self._policy.segments)
+        jobs = segment_jobs(req.job, memory_tokens, len(views), self._policy.segments)
         names = self._policy.candidates(jobs[0], views, len(jobs)) if jobs else []
         if len(names) < max(1, len(jobs)):
             self._end(req, "not-run", "no target would take it")
--- a/gladedrum/scheduling/arrivals.py
+++ b/gladedrum/scheduling/arrivals.py
@@ -10,7 +10,7 @@
 
 from .engine_model import EngineTraits, read_time_s
 
-__all__ = ["LongReads"]
+__all__ = ["LongPromptArrivals"]
 
 MIN_PART_TOKENS = 8_000
 """Shorter parts are not counted: engines read them within any objective for pauses."""
@@ -47,7 +47,7 @@
     per_s: float
 
 
-class LongReads:
+class LongPromptArrivals:
     """The recently placed long prompts, over all engines."""
 
     def __init__(self) -> None:
--- a/gladedrum/scheduling/credit.py
+++ b/gladedrum/scheduling/expected_loss.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .arrivals import LongReads
+from .arrivals import LongPromptArrivals
 from .engine_model import EngineTraits, Prediction, Work, predict, read_time_s
 from .ledger import EngineLedger, LedgerRow, Stake
 
@@ -40,7 +40,7 @@
 MIN_SPLIT_PROMPT_TOKENS = 30_000
 """Shorter prompts are read by one engine: splitting them delays others more than it gains."""
 
-USUAL_QUOTED = 18
+DEFAULT_QUOTED_ENGINES = 18
 """Engines that are simulated for most requests. This bounds the time of a decision, since a few
 boxes decide for a large fleet."""
 
@@ -166,7 +166,7 @@
         Predicted time to the first event.
     pause_s : float
         Predicted longest pause.
-    lost_chance : float
+    abandon_chance : float
         Probability that its caller leaves before the first event.
     """
 
@@ -177,7 +177,7 @@
     loss: float
     first_event_s: float
     pause_s: float
-    lost_chance: float = 0.0
+    abandon_chance: float = 0.0
 
 
 class _EngineState(NamedTuple):
@@ -228,15 +228,17 @@
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
-    long_reads: LongReads | None = None,
+    long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
     """Choose the engines for a request; None if no set of candidates has the memory for it.
 
-    `long_reads` holds the recent long prompts, from which the interference of later
+    `long_prompt_arrivals` holds the recent long prompts, from which the interference of later
     ones is estimated. Of engines with equal cost, the first in `candidates` is taken.
     """
     shortlist = _shortlist(candidates, _engines_to_quote(traits, job))
-    interference_loss = _exposure(traits, candidates, job, now_s, long_reads or LongReads())
+    interference_loss = _exposure(
+        traits, candidates, job, now_s, long_prompt_arrivals or LongPromptArrivals()
+    )
     engines = [
         _engine_state(traits, candidate, now_s, interference_loss(candidate))
         for candidate in shortlist
@@ -254,7 +256,7 @@
     parts = _min_parts(traits, job)
     if job.prompt_tokens >= MIN_SPLIT_PROMPT_TOKENS:
         parts = max(parts, min(_parts_to_be_on_time(traits, job), PART_COUNTS[-1]))
-    return max(USUAL_QUOTED, math.ceil(QUOTED_ENGINES_PER_PART * parts))
+    return max(DEFAULT_QUOTED_ENGINES, math.ceil(QUOTED_ENGINES_PER_PART * parts))
 
 
 def _parts_to_be_on_time(traits: EngineTraits, job: Job) -> float:
@@ -344,7 +346,7 @@
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
-    long_reads: LongReads,
+    long_prompt_arrivals: LongPromptArrivals,
 ) -> Callable[[Candidate], float]:
     """Return a function that gives the loss expected from later long prompts on an engine.
 
@@ -352,7 +354,7 @@
     parts of long prompts arrive during its answer than there are engines with less worth on them.
     The parts are assumed to arrive as a Poisson process.
     """
-    per_s = long_reads.parts_per_s(traits, job.pause_limit_s, now_s)
+    per_s = long_prompt_arrivals.parts_per_s(traits, job.pause_limit_s, now_s)
     if not per_s:
         return lambda _candidate: 0.0
     writing_s = job.answer_tokens * traits.step_s
--- a/gladedrum/scheduling/ledger.py
+++ b/gladedrum/scheduling/ledger.py
@@ -15,7 +15,7 @@
 """A row is dropped after this time, in seconds, if its end was not announced; no request runs
 longer."""
 
-CALLER_WAIT_S, CALLER_WAIT_X, CALLER_WAIT_PAUSES_X = 2.0, 4, 8
+MIN_CALLER_WAIT_S, CALLER_WAIT_OBJECTIVE_FACTOR, CALLER_WAIT_PAUSE_FACTOR = 2.0, 4, 8
 """A caller abandons a stream after a pause of this many seconds, this multiple of its objective for
 the first event or this multiple of its objective for pauses, whichever is longest."""
 
@@ -105,8 +105,8 @@
         The objective is the time that was left until its first event was due when it was placed.
         """
         objective_s = self.stake.first_due_s - self.placed_s
-        pauses_s = CALLER_WAIT_PAUSES_X * self.stake.pause_limit_s
-        return max(CALLER_WAIT_S, CALLER_WAIT_X * objective_s, pauses_s)
+        pauses_s = CALLER_WAIT_PAUSE_FACTOR * self.stake.pause_limit_s
+        return max(MIN_CALLER_WAIT_S, CALLER_WAIT_OBJECTIVE_FACTOR * objective_s, pauses_s)
 
     def work(self, now_s: float, traits: EngineTraits) -> Work:
         """Return its remaining work on an engine with these traits."""
--- a/gladedrum/scheduling/placements.py
+++ b/gladedrum/scheduling/placement_policies.py
@@ -12,15 +12,15 @@
 
 from collections.abc import Callable, Sequence
 
-from . import credit
-from .arrivals import LongReads
-from .credit import Candidate, Job, Placement
+from . import expected_loss
+from .arrivals import LongPromptArrivals
 from .engine_model import EngineTraits
+from .expected_loss import Candidate, Job, Placement
 
 __all__ = ["PlacementPolicy", "place_by", "placement_names"]
 
 PlacementPolicy = Callable[
-    [EngineTraits, Sequence[Candidate], Job, float, LongReads | None], Placement | None
+    [EngineTraits, Sequence[Candidate], Job, float, LongPromptArrivals | None], Placement | None
 ]
 """Chooses the engines for a request at a given time, given the recent long prompts; None if no set
 of candidates has the memory."""
@@ -31,7 +31,7 @@
 LONG_SHARE = 0.5
 """Share of the engines that `length_pools` reserves for long prompts."""
 
-_policies: dict[str, PlacementPolicy] = {"fair_slack": credit.place}
+_policies: dict[str, PlacementPolicy] = {"fair_slack": expected_loss.place}
 
 
 def register(name: str) -> Callable[[PlacementPolicy], PlacementPolicy]:
@@ -55,10 +55,12 @@
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
-    long_reads: LongReads | None = None,
+    long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
     """Place a request by a policy; `fair_slack` if the policy has no placement of its own."""
-    return _policies.get(name, credit.place)(traits, candidates, job, now_s, long_reads)
+    return _policies.get(name, expected_loss.place)(
+        traits, candidates, job, now_s, long_prompt_arrivals
+    )
 
 
 @register("fifo")
@@ -67,7 +69,7 @@
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
-    _long_reads: LongReads | None = None,
+    _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
     """Choose the engine with the fewest requests of any size: a baseline."""
     return _least_by(traits, candidates, job, now_s, lambda c: len(c.ledger.rows))
@@ -79,7 +81,7 @@
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
-    _long_reads: LongReads | None = None,
+    _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
     """Choose the engine with the fewest tokens in memory: a baseline."""
     return _least_by(traits, candidates, job, now_s, lambda c: c.tokens)
@@ -91,7 +93,7 @@
     candidates: Sequence[Candidate],
     job: Job,
     now_s: float,
-    _long_reads: LongReads | None = None,
+    _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
     """Reserve half of the engines for long prompts: a common baseline."""
     ordered = sorted(candidates, key=lambda candidate: candidate.name)
@@ -110,7 +112,7 @@
     """Choose the least loaded engine; `fair_slack` places prompts that fit no engine."""
     whole = job.prompt_tokens + job.answer_tokens
     if whole > traits.memory_tokens:
-        return credit.place(traits, candidates, job, now_s)
+        return expected_loss.place(traits, candidates, job, now_s)
     fitting = [c for c in candidates if c.tokens + whole <= traits.memory_tokens]
     if not fitting:
         return None
--- a/gladedrum/scheduling/rates.py
+++ b/gladedrum/scheduling/rates.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-__all__ = ["NamedRate", "RateBook", "interval_s", "report_pause_s", "settle_rate"]
+__all__ = ["NamedRate", "RateLimiter", "interval_s", "report_pause_s", "settle_rate"]
 
 
 class NamedRate(NamedTuple):
@@ -69,7 +69,7 @@
     return NamedRate(per_s, known.since_s, max(known.heard_s, heard_s), told_by)
 
 
-LONGEST_CLOSED_S = 8.0
+MAX_INTERVAL_S = 8.0
 """Longest interval between requests to a target, in seconds, however low its rate."""
 
 REPORT_SHARE = 0.25
@@ -89,21 +89,21 @@
 
 
 def interval_s(per_s: float) -> float:
-    """Return the seconds between two requests at a rate, at most `LONGEST_CLOSED_S`.
+    """Return the seconds between two requests at a rate, at most `MAX_INTERVAL_S`.
 
     Examples
     --------
     >>> interval_s(4.0), interval_s(0.0)
     (0.25, 8.0)
     """
-    return min(LONGEST_CLOSED_S, 1 / per_s) if per_s > 0 else LONGEST_CLOSED_S
+    return min(MAX_INTERVAL_S, 1 / per_s) if per_s > 0 else MAX_INTERVAL_S
 
 
 def report_pause_s(rate: NamedRate | None, usual_s: float) -> float:
     """Return the seconds between two reports of a target under its named rate, if any."""
     if rate is None:
         return usual_s
-    return max(usual_s, min(LONGEST_CLOSED_S, interval_s(rate.per_s) / REPORT_SHARE))
+    return max(usual_s, min(MAX_INTERVAL_S, interval_s(rate.per_s) / REPORT_SHARE))
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
     filled_s: float
 
 
-class RateBook:
+class RateLimiter:
     """Token buckets for the targets that name a rate, one for each target.
 
     A bucket starts empty when the rate becomes known here, so that a restarted box does not grant
@@ -122,11 +122,11 @@
 
     Examples
     --------
-    >>> book = RateBook()
+    >>> book = RateLimiter()
     >>> (
-    ...     book.take("t", 0, 2.0, 10.0),
-    ...     book.take("t", 0, 2.0, 10.5),
-    ...     book.take("t", 0, 2.0, 10.75),
+    ...     book.acquire("t", 0, 2.0, 10.0),
+    ...     book.acquire("t", 0, 2.0, 10.5),
+    ...     book.acquire("t", 0, 2.0, 10.75),
     ... )
     (0.5, 0.0, 0.25)
     """
@@ -139,7 +139,7 @@
         if target not in self._buckets:
             self._buckets[target] = _Bucket(born, 0.0, since_s)
 
-    def take(self, target: str, born: int, per_s: float, now_s: float) -> float:
+    def acquire(self, target: str, born: int, per_s: float, now_s: float) -> float:
         """Consume a token for one request; return 0 if granted, else the seconds until the next."""
         bucket = self._fill(target, born, per_s, now_s)
         if bucket.tokens >= 1:
@@ -152,12 +152,12 @@
         bucket = self._fill(target, born, per_s, now_s)
         return 0.0 if bucket.tokens >= 1 else _seconds_to_next(bucket, per_s)
 
-    def spend(self, target: str, born: int, per_s: float, now_s: float) -> None:
+    def charge(self, target: str, born: int, per_s: float, now_s: float) -> None:
         """Charge a request that was sent without a grant; the bucket may go into debt."""
         bucket = self._fill(target, born, per_s, now_s)
         bucket.tokens = max(bucket.tokens - 1, -max(1.0, MAX_DEBT_S * per_s))
 
-    def give_back(self, target: str, born: int, per_s: float, now_s: float) -> None:
+    def refund(self, target: str, born: int, per_s: float, now_s: float) -> None:
         """Return the token of a granted request that was not sent."""
         bucket = self._fill(target, born, per_s, now_s)
         bucket.tokens = min(bucket.tokens + 1, _capacity(per_s))
@@ -182,4 +182,4 @@
 
 
 def _seconds_to_next(bucket: _Bucket, per_s: float) -> float:
-    return min(LONGEST_CLOSED_S, (1 - bucket.tokens) / per_s) if per_s > 0 else LONGEST_CLOSED_S
+    return min(MAX_INTERVAL_S, (1 - bucket.tokens) / per_s) if per_s > 0 else MAX_INTERVAL_S
--- a/gladedrum/scheduling/segments.py
+++ b/gladedrum/scheduling/segments.py
@@ -15,9 +15,9 @@
     "MAX_SEGMENTS",
     "Segment",
     "SegmentRule",
-    "jobs_of",
     "plan_segments",
     "reservation_order",
+    "segment_jobs",
 ]
 
 MAX_SEGMENTS = 16
@@ -101,7 +101,7 @@
     return [Segment(*parts) for parts in zip(starts, lengths, outputs, strict=True)]
 
 
-def jobs_of(job: Job, memory_tokens: int, engines: int, rule: SegmentRule) -> list[Job]:
+def segment_jobs(job: Job, memory_tokens: int, engines: int, rule: SegmentRule) -> list[Job]:
     """Return the jobs that reserve memory for a request: itself, or one for each segment.
 
     Parameters are those of `plan_segments`. The list is empty if the request is too long.
--- a/gladedrum/scheduling/suspects.py
+++ b/gladedrum/scheduling/suspects.py
@@ -14,7 +14,7 @@
 
 Examples
 --------
->>> book = SuspectBook()
+>>> book = SuspectTracker()
 >>> for name in ("a", "b", "c"):
 ...     _ = book.note_lost(b"request", [TargetStart(name, 7)], now_s=0.0)
 ...     _ = book.note_ended(TargetStart(name, 7), now_s=0.5)
@@ -29,13 +29,13 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-__all__ = ["ALIVE_AFTER_S", "ENDS_TO_CONDEMN", "KEPT_S", "Condemned", "Loss", "Standing"]
-__all__ += ["SuspectBook", "TargetStart", "Verdict"]
+__all__ = ["ALIVE_AFTER_S", "ENDS_TO_CONDEMN", "LOSS_RETENTION_S", "Condemned", "Loss", "Standing"]
+__all__ += ["SuspectTracker", "TargetStart", "Verdict"]
 
 ENDS_TO_CONDEMN = 3
 """Number of targets that a request must have ended to be condemned."""
 
-KEPT_S = 600.0
+LOSS_RETENTION_S = 600.0
 """How long a settled loss counts, in seconds. After that a condemned request is tried again, as
 targets may run another version; if it still ends them, this costs one target per period."""
 
@@ -139,7 +139,7 @@
     left_s: float
 
 
-class SuspectBook:
+class SuspectTracker:
     """The losses known to a box, and the standing of requests that follows from them.
 
     Attributes
@@ -337,7 +337,7 @@
         losses = self._attributed_losses(digest)
         ages_s = sorted(now_s - loss.at_s for loss in losses)
         starts = tuple(sorted(loss.start for loss in losses))
-        left_s = max(0.0, KEPT_S - ages_s[ENDS_TO_CONDEMN - 1])
+        left_s = max(0.0, LOSS_RETENTION_S - ages_s[ENDS_TO_CONDEMN - 1])
         first = losses[0]
         return Condemned(digest, first.route, first.organisation, starts, ages_s[0], left_s)
 
@@ -375,7 +375,7 @@
 
 
 def _retention_s(loss: Loss) -> float:
-    return SETTLE_TIMEOUT_S if loss.verdict is Verdict.OPEN else KEPT_S
+    return SETTLE_TIMEOUT_S if loss.verdict is Verdict.OPEN else LOSS_RETENTION_S
 
 
 def _count_ends(losses: Iterable[Loss]) -> int:
--- a/gladedrum/scheduling/tests/small_fleet.py
+++ b/gladedrum/scheduling/tests/small_fleet.py
@@ -1,7 +1,7 @@
 """A small fleet with short answers, for tests of the placement of long prompts."""
 
-from gladedrum.scheduling.credit import worth_of
 from gladedrum.scheduling.engine_model import EngineTraits
+from gladedrum.scheduling.expected_loss import worth_of
 from gladedrum.scheduling.ledger import LedgerRow, Stake
 
 TRAITS = EngineTraits(
--- a/gladedrum/scheduling/tests/test_caller_wait.py
+++ b/gladedrum/scheduling/tests/test_caller_wait.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gladedrum.scheduling.ledger import CALLER_WAIT_S, LedgerRow, Stake
+from gladedrum.scheduling.ledger import MIN_CALLER_WAIT_S, LedgerRow, Stake
 
 
 def row(first_due_s, placed_s, pause_limit_s=0.25):
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize(("due_s", "placed_s"), [(1.0, 9.0), (1.0, 1.0), (float("-inf"), 9.0)])
 def test_request_placed_after_its_due_time_has_the_minimum_wait(due_s, placed_s):
-    assert row(due_s, placed_s).caller_wait_s == CALLER_WAIT_S
+    assert row(due_s, placed_s).caller_wait_s == MIN_CALLER_WAIT_S
 
 
 def test_request_without_objective_waits_forever():
--- a/gladedrum/scheduling/tests/test_credit.py
+++ b/gladedrum/scheduling/tests/test_credit.py
@@ -5,12 +5,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gladedrum.scheduling import credit
-from gladedrum.scheduling.arrivals import LongReads
-from gladedrum.scheduling.credit import Candidate, Job, place, worth_of
+from gladedrum.scheduling import expected_loss
+from gladedrum.scheduling.arrivals import LongPromptArrivals
 from gladedrum.scheduling.engine_model import EngineTraits, Work, predict, read_time_s
+from gladedrum.scheduling.expected_loss import Candidate, Job, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger, LedgerRow, Stake
-from gladedrum.scheduling.placements import place_by, placement_names
+from gladedrum.scheduling.placement_policies import place_by, placement_names
 
 TRAITS = EngineTraits()
 SHORT = Job(5_000, 1_300, worth_of(5_000), 0.3, 0.25)
@@ -50,7 +50,7 @@
 
 
 def test_frequent_long_prompts_concentrate_short_prompts_on_fewer_engines():
-    reads = LongReads()
+    reads = LongPromptArrivals()
     for at_s in range(6):
         reads.note(130_000, 3, float(at_s))
     busy = candidate("busy", *(row(f"s{i}", 5_000, writing=True) for i in range(6)))
@@ -61,7 +61,7 @@
 
 
 def test_arrival_rate_counts_reads_beyond_the_pause_limit_and_decays():
-    reads = LongReads()
+    reads = LongPromptArrivals()
     reads.note(5_000, 1, 0.0)
     reads.note(45_000, 1, 0.0)
     assert reads.parts_per_s(TRAITS, 0.6, 0.0) == 0.0
@@ -155,8 +155,8 @@
         chosen_loss += place(TRAITS, engines, job, 0.0).loss
         losses = []
         with monkeypatch.context() as patched:
-            for count in credit.PART_COUNTS:
-                patched.setattr(credit, "PART_COUNTS", (count,))
+            for count in expected_loss.PART_COUNTS:
+                patched.setattr(expected_loss, "PART_COUNTS", (count,))
                 chosen = place(TRAITS, engines, job, 0.0)
                 losses += [chosen.loss] if chosen is not None else []
         lowest_loss += min(losses)
--- a/gladedrum/scheduling/tests/test_long_pauses.py
+++ b/gladedrum/scheduling/tests/test_long_pauses.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from gladedrum.scheduling import credit
-from gladedrum.scheduling.credit import Candidate, Job, Placement, place, worth_of
+from gladedrum.scheduling import expected_loss
+from gladedrum.scheduling.expected_loss import Candidate, Job, Placement, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger, LedgerRow, Stake
 from gladedrum.scheduling.tests.small_fleet import ENGINES, TRAITS, short_row
 
@@ -51,14 +51,14 @@
 def shares_of(fleet: list[Candidate], job: Job, chosen: Placement) -> Shares:
     names = (chosen.name, *chosen.helpers)
     by_name = {candidate.name: candidate for candidate in fleet}
-    work = credit.Work(chosen.part_tokens, job.answer_tokens, pair_share=float(len(names)))
-    engines = [credit._engine_state(TRAITS, by_name[name], 0.0, 0.0) for name in names]
-    others = sum(credit._quote(TRAITS, engine, work, 0.0).loss for engine in engines)
+    work = expected_loss.Work(chosen.part_tokens, job.answer_tokens, pair_share=float(len(names)))
+    engines = [expected_loss._engine_state(TRAITS, by_name[name], 0.0, 0.0) for name in names]
+    others = sum(expected_loss._quote(TRAITS, engine, work, 0.0).loss for engine in engines)
     failure_chance = 1 - math.prod(1 - by_name[name].failure_chance for name in names)
-    prediction = credit.Prediction(chosen.first_event_s, chosen.pause_s)
+    prediction = expected_loss.Prediction(chosen.first_event_s, chosen.pause_s)
     return Shares(
-        credit._job_loss(job, prediction),
-        credit.HELPER_COST * job.value * len(chosen.helpers),
+        expected_loss._job_loss(job, prediction),
+        expected_loss.HELPER_COST * job.value * len(chosen.helpers),
         failure_chance * job.value,
         others,
     )
@@ -66,7 +66,7 @@
 
 def test_loss_includes_answers_that_callers_abandon_during_a_long_pause(monkeypatch):
     """Forces 16 parts; the search would choose fewer."""
-    monkeypatch.setattr(credit, "PART_COUNTS", (16,))
+    monkeypatch.setattr(expected_loss, "PART_COUNTS", (16,))
     fleet = busy_fleet()
     chosen = place(TRAITS, fleet, LONG, 0.0)
     shares = shares_of(fleet, LONG, chosen)
--- a/gladedrum/scheduling/tests/test_part_counts.py
+++ b/gladedrum/scheduling/tests/test_part_counts.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from gladedrum.scheduling import credit
-from gladedrum.scheduling.credit import Candidate, Job, place, worth_of
+from gladedrum.scheduling import expected_loss
+from gladedrum.scheduling.expected_loss import Candidate, Job, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger
 from gladedrum.scheduling.tests.small_fleet import ENGINES, TRAITS, short_row
 
@@ -27,9 +27,9 @@
 def least_loss(monkeypatch, fleet, job):
     """Return the lowest loss over all numbers of parts."""
     losses = []
-    for count in credit.PART_COUNTS:
+    for count in expected_loss.PART_COUNTS:
         with monkeypatch.context() as patched:
-            patched.setattr(credit, "PART_COUNTS", (count,))
+            patched.setattr(expected_loss, "PART_COUNTS", (count,))
             chosen = place(TRAITS, fleet, job, 0.0)
         losses += [chosen.loss] if chosen is not None else []
     return min(losses)
--- a/gladedrum/scheduling/tests/test_segments.py
+++ b/gladedrum/scheduling/tests/test_segments.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gladedrum.scheduling import Job, SegmentRule, jobs_of, plan_segments, reservation_order
+from gladedrum.scheduling import Job, SegmentRule, plan_segments, reservation_order, segment_jobs
 from gladedrum.scheduling.segments import MAX_SEGMENTS
 
 
@@ -40,7 +40,7 @@
 
 def test_segment_jobs_keep_the_length_of_the_whole_prompt():
     job = Job("r", "a", "dossier", 900_000, 100, 0.0, 1.0, prefix=(1, 2))
-    jobs = jobs_of(job, 400_000, 18, SegmentRule(0.85, 0.85))
+    jobs = segment_jobs(job, 400_000, 18, SegmentRule(0.85, 0.85))
     assert [j.job_id for j in jobs] == ["r.s0", "r.s1", "r.s2"]
     assert all(j.length_tokens == 900_000 and j.is_long for j in jobs)
     assert jobs[0].prefix and not jobs[1].prefix
@@ -48,4 +48,4 @@
 
 def test_request_that_fits_is_not_split():
     job = Job("r", "a", "clause", 1_000, 100, 0.0, 1.0)
-    assert jobs_of(job, 400_000, 18, SegmentRule(0.85, 0.85)) == [job]
+    assert segment_jobs(job, 400_000, 18, SegmentRule(0.85, 0.85)) == [job]
--- a/gladedrum/scheduling/tests/test_suspects.py
+++ b/gladedrum/scheduling/tests/test_suspects.py
@@ -9,12 +9,12 @@
 
 from gladedrum.scheduling.suspects import (
     ENDS_TO_CONDEMN,
-    KEPT_S,
+    LOSS_RETENTION_S,
     MAX_REQUESTS,
     MAX_SHARED_LOSSES,
     SETTLE_TIMEOUT_S,
     Standing,
-    SuspectBook,
+    SuspectTracker,
     TargetStart,
     Verdict,
 )
@@ -38,7 +38,7 @@
 
 
 def test_standing_escalates_with_each_ended_target():
-    book = SuspectBook()
+    book = SuspectTracker()
     found = [standing(book, BAD)]
     for number in range(3):
         lose(book, number, BAD)
@@ -47,7 +47,7 @@
 
 
 def test_request_is_held_until_open_losses_are_settled():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD, ended=False)
     assert standing(book, BAD) is Standing.HELD
@@ -57,7 +57,7 @@
 
 
 def test_report_of_a_target_clears_open_losses():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD, ended=False)
         book.note_alive(start(number), 0.5)
@@ -66,7 +66,7 @@
 
 
 def test_report_of_the_same_start_clears_ended_losses():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD)
         book.note_alive(start(number), 1.5)
@@ -74,7 +74,7 @@
 
 
 def test_report_of_a_later_start_clears_nothing():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD)
         book.note_alive(start(number, born=8), 4.0)
@@ -82,7 +82,7 @@
 
 
 def test_loss_reported_after_the_end_of_its_target_counts_as_ended():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         book.note_ended(start(number), 0.0)
         book.note_lost(BAD, [start(number)], 0.2)
@@ -90,7 +90,7 @@
 
 
 def test_unknown_start_adds_no_end():
-    book = SuspectBook()
+    book = SuspectTracker()
     for born in (0, 7, 8):
         book.note_lost(BAD, [TargetStart("t1", born)], 0.0)
         book.note_ended(TargetStart("t1", born), 0.1)
@@ -98,14 +98,14 @@
 
 
 def test_repeated_loss_with_one_start_counts_once():
-    book = SuspectBook()
+    book = SuspectTracker()
     for _ in range(5):
         lose(book, 1, BAD)
     assert standing(book, BAD) is Standing.WATCHED
 
 
 def test_completed_request_is_cleared():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(4):
         lose(book, number, BAD)
     cleared = book.note_served(BAD, 2.0)
@@ -115,7 +115,7 @@
 
 def test_innocent_requests_on_ended_targets_are_not_condemned():
     """The innocent requests share two and three of the four ended targets with the suspect."""
-    book = SuspectBook()
+    book = SuspectTracker()
     lose(book, 1, BAD, GOOD, OTHER)
     lose(book, 2, BAD, GOOD, OTHER)
     lose(book, 3, BAD, GOOD)
@@ -126,7 +126,7 @@
 
 
 def test_requests_always_lost_together_run_alone():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD, GOOD)
     assert standing(book, BAD) is standing(book, GOOD) is Standing.ALONE
@@ -136,17 +136,17 @@
 
 
 def test_condemned_request_is_tried_again_after_the_retention_time():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD)
     row = book.condemned_row(BAD, 100.0)
-    assert abs(row.left_s - (KEPT_S - 100.0)) < 1.0
-    later_s = KEPT_S + 1.0
+    assert abs(row.left_s - (LOSS_RETENTION_S - 100.0)) < 1.0
+    later_s = LOSS_RETENTION_S + 1.0
     assert standing(book, BAD, later_s) is Standing.CLEAR
 
 
 def test_unsettled_loss_expires():
-    book = SuspectBook()
+    book = SuspectTracker()
     lose(book, 1, BAD, ended=False)
     assert standing(book, BAD, SETTLE_TIMEOUT_S + 0.1) is Standing.CLEAR
     assert not book.is_watching
@@ -154,7 +154,7 @@
 
 
 def test_flood_of_requests_evicts_those_with_fewest_losses():
-    book = SuspectBook()
+    book = SuspectTracker()
     for number in range(3):
         lose(book, number, BAD)
     for index in range(3 * MAX_REQUESTS):
@@ -164,7 +164,7 @@
 
 
 def test_condemnation_is_signalled_once():
-    book, signalled = SuspectBook(), []
+    book, signalled = SuspectTracker(), []
     book.on_condemned = signalled.append
     for number in range(5):
         lose(book, number, BAD)
@@ -193,7 +193,7 @@
 
 def test_shared_losses_are_bounded_and_converge():
     """Two boxes each have half of more losses than they share; requests lost once are left out."""
-    rng, books = random.Random(5), [SuspectBook(), SuspectBook()]
+    rng, books = random.Random(5), [SuspectTracker(), SuspectTracker()]
     for index in range(2 * MAX_SHARED_LOSSES):
         for _ in range(1 + index % 3):
             lose(rng.choice(books), 1000 + rng.randrange(500), b"r%d" % index, ended=index % 2 > 0)
@@ -202,14 +202,14 @@
             assert len(one.shared()) <= MAX_SHARED_LOSSES
             other.merge([replace(loss) for loss in one.shared()], 1.0)
     assert books[0].checksum == books[1].checksum != 0
-    book = SuspectBook()
+    book = SuspectTracker()
     lose(book, 1, BAD)
     assert book.checksum == 0
 
 
 @given(events(), events(), st.randoms(use_true_random=False))
 def test_merge_is_commutative_and_idempotent(first, second, rng):
-    books = [SuspectBook(), SuspectBook(), SuspectBook()]
+    books = [SuspectTracker(), SuspectTracker(), SuspectTracker()]
     for book, happened in zip(books, (first, second), strict=False):
         for step, event in enumerate(happened):
             apply_to(book, event, 0.6 * step)
@@ -226,7 +226,7 @@
 
 
 def test_losses_seen_by_different_boxes_add_up():
-    books = [SuspectBook() for _ in range(3)]
+    books = [SuspectTracker() for _ in range(3)]
     for number, book in enumerate(books):
         lose(book, number, BAD)
     for one, other in itertools.permutations(books, 2):
@@ -236,7 +236,7 @@
 
 def test_unrelated_ends_of_targets_condemn_no_request():
     """A quarter of the engines end within seconds, twice; most lost requests complete later."""
-    rng, book, now_s = random.Random(3), SuspectBook(), 0.0
+    rng, book, now_s = random.Random(3), SuspectTracker(), 0.0
     for _round in range(2):
         for number in rng.sample(range(18), 5):
             beside = [b"r%d" % rng.randrange(10_000) for _ in range(8)]
--- a/gladedrum/scheduling/tests/test_very_long_prompts.py
+++ b/gladedrum/scheduling/tests/test_very_long_prompts.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from gladedrum.scheduling import credit
-from gladedrum.scheduling.credit import Candidate, Job, place, worth_of
+from gladedrum.scheduling import expected_loss
 from gladedrum.scheduling.engine_model import EngineTraits, read_time_s
+from gladedrum.scheduling.expected_loss import Candidate, Job, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger, LedgerRow, Stake
 
 TRAITS = EngineTraits(
@@ -93,7 +93,7 @@
 ):
     """Guards the bound on simulated engines under a flash crowd of long prompts."""
     quoted = mean_loss(tokens, long_prompts, short_answers)
-    monkeypatch.setattr(credit, "USUAL_QUOTED", ENGINES)
+    monkeypatch.setattr(expected_loss, "DEFAULT_QUOTED_ENGINES", ENGINES)
     assert quoted <= 1.05 * mean_loss(tokens, long_prompts, short_answers)
 
 
@@ -115,8 +115,10 @@
 @pytest.mark.parametrize("due_s", [0.3, 0.01, -1.0])
 def test_short_prompt_simulates_few_engines(monkeypatch, due_s):
     quoted_engines = []
-    quote = credit._quote
-    monkeypatch.setattr(credit, "_quote", lambda *args: quoted_engines.append(1) or quote(*args))
+    quote = expected_loss._quote
+    monkeypatch.setattr(
+        expected_loss, "_quote", lambda *args: quoted_engines.append(1) or quote(*args)
+    )
     short = Job(5_000, 1_600, worth_of(5_000), due_s, 0.2, 2.0)
     place(TRAITS, fleet(1, long_prompts=3, short_answers=30), short, 0.0)
-    assert len(quoted_engines) <= 18 + credit.MAX_EXTRA_CONNECTED
+    assert len(quoted_engines) <= 18 + expected_loss.MAX_EXTRA_CONNECTED
