--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -24,7 +24,7 @@
 from gladedrum.gossip.wire.ttypes import Gossip
 from gladedrum.placing.choosing import Chooser, Demand
 from gladedrum.placing.fleet_view import FleetView
-from gladedrum.placing.work_plan import WorkPlan, note_of
+from gladedrum.placing.work_plan import WorkPlan, note_from_plan
 from gladedrum.routes import RouteTable, Service
 from gladedrum.scheduling.engine_model import EngineTraits
 from gladedrum.table import TableFollower, TableInForce
@@ -126,8 +126,8 @@
         number = next(numbers)
         plan = _plan(number, [names[number % 60]])
         for change in (gossip.PLACED, gossip.ENDED):
-            data = gossip.encode(Gossip("box-1", [note_of(plan, change)]))
-            view.take(gossip.decode(data), known.keys(), number * 0.01)
+            data = gossip.encode(Gossip("box-1", [note_from_plan(plan, change)]))
+            view.receive(gossip.decode(data), known.keys(), number * 0.01)
 
     return {"us_a_datagram_both_sides": _cpu_us(exchange, 2000) / 2}
 
--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -27,7 +27,7 @@
 from gladedrum.placing import choosing
 from gladedrum.placing.choosing import Chooser, Demand
 from gladedrum.placing.fleet_view import FleetView
-from gladedrum.placing.placer import HOPELESS
+from gladedrum.placing.placer import MAX_LOST_CHANCE
 from gladedrum.routes import Service
 from gladedrum.scheduling import arrivals, expected_loss
 from gladedrum.scheduling.engine_model import EngineTraits
@@ -179,12 +179,12 @@
             "hall", "", asked.at_s + lost_s,
         )  # fmt: skip
         choice = self._chooser.choose(demand, ())
-        if choice is None or choice.abandon_chance > HOPELESS:
+        if choice is None or choice.abandon_chance > MAX_LOST_CHANCE:
             return
         stream = Stream(asked.at_s, asked.answer, len(choice.names), kind.patience_s)
         work_id = f"box_{len(self._streams)}"
         self._streams[asked] = stream
-        self._plans[stream] = self._chooser.plan(work_id, demand, choice)
+        self._plans[stream] = self._chooser.record_choice(work_id, demand, choice)
         for index, name in enumerate(choice.names):
             engine = self._engines[name]
             part = Part(stream, asked.prompt / len(choice.names), len(choice.names), index == 0)
--- a/gladedrum/connections/target_pool.py
+++ b/gladedrum/connections/target_pool.py
@@ -41,7 +41,7 @@
 class TargetGate(Interface):
     """Authorizes everything that is sent to targets, and receives the statements in responses."""
 
-    def let_out(self, target: str, kind: CallKind) -> int:
+    def authorize(self, target: str, kind: CallKind) -> int:
         """Return the target's known start time; called right before each send.
 
         Raises `NotNowError` if the target must not get this kind of message.
@@ -50,14 +50,14 @@
     def note_answer(self, target: str, born: int, statements: Statements, sent_s: float) -> None:
         """Process what a response states about its target.
 
-        `born` is what `let_out` returned for the request, and `sent_s` the time of that call.
+        `born` is what `authorize` returned for the request, and `sent_s` the time of that call.
         """
 
 
 class _AllowAllGate:
     """Authorizes everything and ignores statements."""
 
-    def let_out(self, _target: str, _kind: CallKind) -> int:
+    def authorize(self, _target: str, _kind: CallKind) -> int:
         return 0
 
     def note_answer(self, target: str, born: int, statements: Statements, sent_s: float) -> None:
@@ -168,7 +168,7 @@
     ) -> None:
         try:
             head = make_head()
-            exchange.born = self.gate.let_out(exchange.target, kind)
+            exchange.born = self.gate.authorize(exchange.target, kind)
         except NotNowError as exc:
             conn.abort()
             # Delivered in a later turn of the reactor: the caller of `begin` has no exchange yet.
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -87,7 +87,7 @@
         self._operator_token = cfg.get(OPERATOR_TOKEN)
         self._pool = TargetPool(reactor)
         self._view = FleetView(self._traits_of)
-        self._view.on_reborn = self._target_restarted
+        self._view.on_restart = self._target_restarted
         store = StoreClient(cfg.get(STORE), WebClient(reactor))
         self._beliefs = StoreBeliefs(
             reactor,
@@ -356,7 +356,7 @@
         return engine or EngineTraits()
 
     def _note_listed(self, entry: TargetEntry) -> None:
-        self._view.note_born(entry.name, entry.born, self._reactor.seconds())
+        self._view.note_start(entry.name, entry.born, self._reactor.seconds())
 
     def _target_restarted(self, name: str) -> None:
         self._targets.note_start(name, self._view.state(name).born)
@@ -371,13 +371,13 @@
             self._beliefs.registry.note_ended(message.box, address)
             return
         self._beliefs.registry.note_heard(message.box, address, message.capacity)
-        self._view.take(message, self._targets.entries.keys(), self._reactor.seconds())
-        self._placer.take(message, address)
+        self._view.receive(message, self._targets.entries.keys(), self._reactor.seconds())
+        self._placer.receive(message, address)
         self._vouching.take(message, address)
-        self._repeats.take_told(message, address)
-        self._suspicion.take(message)
-        self._rates.take(message, address)
-        self._statements.take(message)
+        self._repeats.receive(message, address)
+        self._suspicion.receive(message)
+        self._rates.receive(message, address)
+        self._statements.receive(message)
 
     # Pages.
 
--- a/gladedrum/forward/life.py
+++ b/gladedrum/forward/life.py
@@ -16,7 +16,7 @@
 from ..connections.messages import CallerGone, CallerRequest, Mailbox
 from ..errors import TargetLeftAloneError, TargetNotListeningError
 from ..outcome import Failed, NotRun, Outcome, Unknown
-from ..placing.choosing import AllClosed, Barred, Choice, Demand, Hopeless
+from ..placing.choosing import AllTargetsClosed, CannotServeInTime, Choice, CondemnedRequest, Demand
 from ..placing.reports import read_report
 from ..platform.heads import CallerMarks
 from ..routes import Route
@@ -254,7 +254,7 @@
         if helper is None:
             ended.end(work_change_of(end))
         else:
-            self._ctx.view.note_verdict(helper, failed=True, now_s=self._now_s())
+            self._ctx.view.note_outcome(helper, failed=True, now_s=self._now_s())
             ended.end(gossip.WITHDRAWN)
         match end:
             case FailedAnswer():
@@ -391,16 +391,16 @@
         match end:
             case OverBudget():
                 return self._give_up("the repeats that may be sent are used up")
-            case Hopeless(come_back_s=come_back_s):
+            case CannotServeInTime(come_back_s=come_back_s):
                 reason = "no target can begin it before its caller leaves"
                 return self._give_up(reason, come_back_s)
-            case Barred(come_back_s=come_back_s):
+            case CondemnedRequest(come_back_s=come_back_s):
                 self._ctx.metrics.barred.inc()
                 return self._give_up("the targets that run it end", come_back_s)
             case AllLeave(come_back_s=come_back_s):
                 reason = "all targets of the service leave"
                 return self._give_up(reason, self._jittered_s(come_back_s))
-            case AllClosed(come_back_s=come_back_s):
+            case AllTargetsClosed(come_back_s=come_back_s):
                 return await self._wait_or_refuse(come_back_s)
             case Withheld(reason=reason):
                 # Another target may be free: the attempt waited for a connection, not for room.
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -177,7 +177,7 @@
         self.list_targets(targets)
         self.confirm_configuration(self.table(engine, **route))
         self.view = FleetView()
-        self.view.on_reborn = self._on_target_restart
+        self.view.on_restart = self._on_target_restart
         self.tasks = []
         self.circle = circle = Circle(me, lambda: peers)
         audience = circle.audience if peers else lambda: ()
@@ -238,12 +238,12 @@
         }
 
     def _receive_gossip(self, message, address):
-        self.view.take(message, self.targets.entries.keys(), self.net.seconds())
-        self.ctx.placer.take(message, address)
-        self.ctx.repeats.take_told(message, address)
-        self.ctx.suspicion.take(message)
-        self.ctx.rates.take(message, address)
-        self.statements.take(message)
+        self.view.receive(message, self.targets.entries.keys(), self.net.seconds())
+        self.ctx.placer.receive(message, address)
+        self.ctx.repeats.receive(message, address)
+        self.ctx.suspicion.receive(message)
+        self.ctx.rates.receive(message, address)
+        self.statements.receive(message)
 
     def _service(self, name):
         return self.configuration.table.services[name]
--- a/gladedrum/forward/tests/test_hostile.py
+++ b/gladedrum/forward/tests/test_hostile.py
@@ -10,7 +10,7 @@
 from gladedrum.forward.tests.support import World, answer
 from gladedrum.gossip.wire.ttypes import Gossip, ReportNote
 from gladedrum.placing.fleet_view import FleetView
-from gladedrum.placing.work_plan import WorkPlan, note_of, plan_of
+from gladedrum.placing.work_plan import WorkPlan, note_from_plan, plan_from_note
 from gladedrum.platform import wire
 
 _PIECES = [
@@ -95,14 +95,14 @@
 def test_an_arbitrary_datagram_is_decoded_or_dropped(data):
     message = gossip.decode(data)
     if message is not None:
-        FleetView().take(message, ["t1"], 0.0)
+        FleetView().receive(message, ["t1"], 0.0)
 
 
 def test_a_datagram_round_trip_keeps_its_notes():
     plan = WorkPlan("w1", ("t1", "t2"), 60_000, 700, 7.0, 1.5, 0.6, reserved=True)
-    note = note_of(plan, gossip.PLACED)
+    note = note_from_plan(plan, gossip.PLACED)
     message = gossip.decode(gossip.encode(Gossip("b", [note], [ReportNote("t1", False)], True)))
-    assert plan_of(message.work[0]) == plan
+    assert plan_from_note(message.work[0]) == plan
     assert (message.box, message.leaving, message.reports[0].answered) == ("b", True, False)
 
 
@@ -113,8 +113,8 @@
     changes = [(plan, change) for plan in plans for change in (1, 2, 3)]
     for plan, change in changes:
         for _ in range(rng.choice([0, 1, 2])):
-            message = Gossip("b", [note_of(plan, change)], [], False)
-            view.take(message, ["t1", "t2"], 1.0)
+            message = Gossip("b", [note_from_plan(plan, change)], [], False)
+            view.receive(message, ["t1", "t2"], 1.0)
     left = view.state("t1").ledger
     assert left.rows
     left.advance(world_traits(), 100.0)
--- a/gladedrum/forward/tests/test_named_rates_fleet.py
+++ b/gladedrum/forward/tests/test_named_rates_fleet.py
@@ -11,7 +11,7 @@
 from gladedrum.forward.tests.support import World, answer
 from gladedrum.outcome import NotRun
 from gladedrum.placing.choosing import Choice
-from gladedrum.placing.reports import order_of
+from gladedrum.placing.reports import responsible_boxes
 
 RATE_LINE = b"Server-Limit: %s\r\n"
 
@@ -38,7 +38,7 @@
 def coordinator_of(fleet, port):
     """Return the box that counts and grants the requests to an engine."""
     box = next(iter(fleet.boxes.values()))
-    return order_of(f"t{port - 9000}", box.circle.members())[0]
+    return responsible_boxes(f"t{port - 9000}", box.circle.members())[0]
 
 
 @pytest.mark.parametrize(
@@ -181,7 +181,9 @@
     fleet.set_rate(9001, 5.0)
     fleet.advance(1.0)
     world, chosen = fleet.boxes["box1"], []
-    monkeypatch.setattr(type(world.ctx.chooser), "plan", lambda _s, _w, _d, c: chosen.append(c))
+    monkeypatch.setattr(
+        type(world.ctx.chooser), "record_choice", lambda _s, _w, _d, c: chosen.append(c)
+    )
     for tokens in (100_000, 400_000):
         for _ in range(5):
             caller = world.caller()
--- a/gladedrum/forward/tries.py
+++ b/gladedrum/forward/tries.py
@@ -17,10 +17,18 @@
 from ..connections.target_conn import Exchange, RequestHead
 from ..connections.target_pool import NotNowError
 from ..fleet import TargetReport
-from ..placing.choosing import AllClosed, Barred, Choice, Demand, Held, Hopeless, NoPlace
+from ..placing.choosing import (
+    AllTargetsClosed,
+    CannotServeInTime,
+    Choice,
+    CondemnedRequest,
+    Demand,
+    NoPlacement,
+    SuspectOnHold,
+)
 from ..placing.fleet_view import START_KNOWN_WITHIN_S
 from ..placing.repeat_pool import Grant
-from ..placing.work_plan import WorkPlan, note_of, work_id_of
+from ..placing.work_plan import WorkPlan, note_from_plan, work_id_of
 from ..platform.heads import SentMarks, forward_headers
 from ..platform.orders import CallKind
 from .admission import Admitted
@@ -168,8 +176,8 @@
         self._overdue = self.ctx.clock.callLater(within_s, self._note_overdue)
 
     def _note_overdue(self) -> None:
-        self.ctx.view.note_verdict(self.target, True, self.ctx.clock.seconds())
-        self.ctx.port.tell_work(note_of(self.plan, gossip.OVERDUE))
+        self.ctx.view.note_outcome(self.target, True, self.ctx.clock.seconds())
+        self.ctx.port.tell_work(note_from_plan(self.plan, gossip.OVERDUE))
 
     def update_from_report(self, report: TargetReport | None) -> None:
         """Update `appears_lost` from a report of the engine, None if the engine sent no report.
@@ -203,7 +211,7 @@
             return
         self._has_begun = True
         self.ctx.view.note_first_event(self.plan, self.ctx.clock.seconds())
-        self.ctx.port.tell_work(note_of(self.plan, gossip.FIRST_EVENT))
+        self.ctx.port.tell_work(note_from_plan(self.plan, gossip.FIRST_EVENT))
 
     def end(self, change: int) -> None:
         """Release what the attempt holds and report how it ended. Later calls do nothing."""
@@ -221,8 +229,8 @@
         self.ctx.view.note_ended(self.plan)
         if change in (gossip.ENDED, gossip.FAILED):
             failed = change == gossip.FAILED
-            self.ctx.view.note_verdict(self.target, failed, self.ctx.clock.seconds())
-        self.ctx.port.tell_work(note_of(self.plan, change))
+            self.ctx.view.note_outcome(self.target, failed, self.ctx.clock.seconds())
+        self.ctx.port.tell_work(note_from_plan(self.plan, change))
 
 
 class TryMaker:
@@ -281,14 +289,14 @@
         """Return a placed attempt; place again if the chosen target takes no requests now."""
         for _ in range(MAX_PLACEMENTS):
             found = await self._place_once(demand, bounds)
-            if not isinstance(found, AllClosed):
+            if not isinstance(found, AllTargetsClosed):
                 return found
         return found
 
     async def _place_once(self, demand: Demand, bounds: PlacementBounds) -> Attempt | TryEnd:
         work_id = work_id_of(self._ctx.box, next(_work_ids))
         placed = await self._ctx.placer.place(work_id, demand, self.tried)
-        if placed is None or isinstance(placed, NoPlace):
+        if placed is None or isinstance(placed, NoPlacement):
             return _end_without_place(placed)
         attempt = Attempt(self._ctx, *placed, demand.service.name)
         self._attempts = [other for other in self._attempts if not other.ended] + [attempt]
@@ -357,15 +365,17 @@
         """Return a refusal if the request was closed meanwhile, for example by its caller."""
         return Refused("not wanted any more", at_target=False) if self._closed else None
 
-    def _known_refusal(self, demand: Demand) -> Barred | AllLeave | AllClosed | None:
+    def _known_refusal(
+        self, demand: Demand
+    ) -> CondemnedRequest | AllLeave | AllTargetsClosed | None:
         """Return a refusal that this box can give without asking another box."""
-        objection = self._ctx.chooser.objection(demand)
-        if isinstance(objection, Barred):
+        objection = self._ctx.chooser.suspect_refusal(demand)
+        if isinstance(objection, CondemnedRequest):
             return objection
         if self._ctx.chooser.all_leave(demand):
             return AllLeave(REPLACEMENT_WAIT_S)
         backoff_s = self._ctx.chooser.all_rest_s(demand)
-        return None if backoff_s is None else AllClosed(backoff_s)
+        return None if backoff_s is None else AllTargetsClosed(backoff_s)
 
     def _check_bounds_locally(self, demand: Demand, bounds: PlacementBounds) -> Refused | None:
         """Check the bounds against a placement from this box's own view.
@@ -403,11 +413,11 @@
         if retry_grant is not None:
             self._ctx.repeats.give_back(demand.service.name, retry_grant)
 
-    async def _admit(self, attempt: Attempt) -> Refused | AllClosed | None:
+    async def _admit(self, attempt: Attempt) -> Refused | AllTargetsClosed | None:
         """Acquire a slot in the target's rate limit and the memory reservations."""
         wait_s = await self._ctx.rates.take_place(attempt.target)
         if wait_s:
-            return AllClosed(wait_s)
+            return AllTargetsClosed(wait_s)
         refused = await self._get_memory(attempt)
         if refused is not None:
             self._ctx.rates.give_back(attempt.target)
@@ -486,11 +496,11 @@
     return Refused("no target has room", at_target=False)
 
 
-def _end_without_place(placed: NoPlace | None) -> TryEnd:
+def _end_without_place(placed: NoPlacement | None) -> TryEnd:
     match placed:
-        case Held(reason=reason):
+        case SuspectOnHold(reason=reason):
             return Refused(reason, at_target=False)
-        case Hopeless() | Barred() | AllClosed():
+        case CannotServeInTime() | CondemnedRequest() | AllTargetsClosed():
             return placed
         case _:
             return _no_place()
--- a/gladedrum/forward/try_ends.py
+++ b/gladedrum/forward/try_ends.py
@@ -9,7 +9,7 @@
 from .. import gossip
 from ..connections.messages import AnswerHead
 from ..outcome import Completed, Failed, Outcome
-from ..placing.choosing import AllClosed, Barred, Hopeless
+from ..placing.choosing import AllTargetsClosed, CannotServeInTime, CondemnedRequest
 
 __all__ = [
     "NOT_RUN_STATUSES",
@@ -117,9 +117,9 @@
 TryEnd = (
     Done
     | Refused
-    | Hopeless
-    | Barred
-    | AllClosed
+    | CannotServeInTime
+    | CondemnedRequest
+    | AllTargetsClosed
     | AllLeave
     | Lost
     | FailedAnswer
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -15,11 +15,20 @@
 from ..scheduling.expected_loss import Candidate, Job, worth_of
 from ..scheduling.placement_policies import place_by
 from ..scheduling.suspects import Standing
-from .apart import separate_suspects
 from .fleet_view import FleetView
+from .suspect_separation import separate_suspects
 from .work_plan import WorkPlan
 
-__all__ = ["AllClosed", "Barred", "Choice", "Chooser", "Demand", "Held", "Hopeless", "NoPlace"]
+__all__ = [
+    "AllTargetsClosed",
+    "CannotServeInTime",
+    "Choice",
+    "Chooser",
+    "CondemnedRequest",
+    "Demand",
+    "NoPlacement",
+    "SuspectOnHold",
+]
 
 DISTRUST_LIMIT = 0.6
 """Targets with a higher distrust (0 to 1) are used only if there are no others."""
@@ -124,7 +133,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hopeless:
+class CannotServeInTime:
     """No target can serve the request before its caller leaves.
 
     Parameters
@@ -137,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Barred:
+class CondemnedRequest:
     """The request is condemned: it ends the targets that run it.
 
     Parameters
@@ -150,14 +159,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class SuspectOnHold:
     """The request is suspected of ending targets and must wait before it may run again."""
 
     reason: str = "another run of it, or the word on its last one, is awaited"
 
 
 @dataclass(frozen=True, slots=True)
-class AllClosed:
+class AllTargetsClosed:
     """No target takes another request now, because of rate limits and rests.
 
     Parameters
@@ -169,7 +178,7 @@
     come_back_s: float
 
 
-NoPlace = Hopeless | Barred | Held | AllClosed
+NoPlacement = CannotServeInTime | CondemnedRequest | SuspectOnHold | AllTargetsClosed
 """Why a request is not placed although targets may have room."""
 
 
@@ -256,7 +265,7 @@
             return Standing.CLEAR
         return self._view.suspects.standing(demand.digest, self._clock.seconds())
 
-    def objection(self, demand: Demand) -> Barred | Held | None:
+    def suspect_refusal(self, demand: Demand) -> CondemnedRequest | SuspectOnHold | None:
         """Return why a suspected request must not run now, None if it may.
 
         A request to an engine waits from its first loss on while another run of it is under way. A
@@ -268,13 +277,13 @@
         suspects, now_s = self._view.suspects, self._clock.seconds()
         match suspects.standing(demand.digest, now_s):
             case Standing.CONDEMNED:
-                return Barred(suspects.condemned_row(demand.digest, now_s).left_s)
+                return CondemnedRequest(suspects.condemned_row(demand.digest, now_s).left_s)
             case Standing.HELD:
-                return Held()
+                return SuspectOnHold()
             case Standing.ALONE if self._is_running(demand.digest):
-                return Held()
+                return SuspectOnHold()
             case Standing.WATCHED if demand.service.engine and self._is_running(demand.digest):
-                return Held()
+                return SuspectOnHold()
             case _:
                 return None
 
@@ -282,7 +291,7 @@
         plans = self._view.suspect_plans(self._clock.seconds())
         return any(plan.digest == digest for plan in plans)
 
-    def plan(self, work_id: str, demand: Demand, choice: Choice) -> WorkPlan:
+    def record_choice(self, work_id: str, demand: Demand, choice: Choice) -> WorkPlan:
         """Record a choice in the ledgers and return the plan."""
         now_s = self._clock.seconds()
         standing = self.standing(demand)
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -20,7 +20,7 @@
 from ..scheduling.ledger import EngineLedger, LedgerRow, Stake
 from ..scheduling.rates import NamedRate, interval_s, settle_rate
 from ..scheduling.suspects import SuspectTracker, TargetStart
-from .work_plan import WorkPlan, box_of, plan_of
+from .work_plan import WorkPlan, box_of, plan_from_note
 
 __all__ = ["FleetView", "TargetState", "shown_age_s"]
 
@@ -165,7 +165,7 @@
     ----------
     long_prompt_arrivals : LongPromptArrivals
         The long prompts that were placed recently.
-    on_reborn : callable
+    on_restart : callable
         Called with the name of a target that has restarted.
     suspects : SuspectTracker
         The requests that may end targets; this class reports ends of targets to it.
@@ -176,7 +176,7 @@
     ) -> None:
         self._traits_of = traits_of
         self.long_prompt_arrivals = LongPromptArrivals()
-        self.on_reborn: Callable[[str], None] = lambda _target: None
+        self.on_restart: Callable[[str], None] = lambda _target: None
         self.suspects = SuspectTracker()
         self._suspect_plans: dict[str, WorkPlan] = {}
         self._states: dict[str, TargetState] = defaultdict(TargetState)
@@ -266,7 +266,7 @@
         for target in plan.targets:
             self._states[target].ledger.remove(plan.work_id)
 
-    def note_verdict(self, target: str, failed: bool, now_s: float, told_by: str = "") -> None:
+    def note_outcome(self, target: str, failed: bool, now_s: float, told_by: str = "") -> None:
         """Update a target's distrust after a request; `told_by` is the reporting peer, if any."""
         state = self._states[target]
         before = state.distrust_at(now_s) if not state.silent else state.distrust
@@ -286,7 +286,7 @@
 
     def note_report(self, target: str, report: TargetReport | None, now_s: float) -> None:
         """Record a report, None if it is missing; a report of an earlier start is ignored."""
-        if report is not None and not self.note_born(target, report.born, now_s):
+        if report is not None and not self.note_start(target, report.born, now_s):
             return
         state = self._states[target]
         silent = report is None
@@ -358,7 +358,7 @@
         state = self._states[target]
         state.closed_until_s = max(state.closed_until_s, now_s + for_s)
 
-    def note_born(self, target: str, born: int, now_s: float) -> bool:
+    def note_start(self, target: str, born: int, now_s: float) -> bool:
         """Record the start of a target that was seen; return whether it is the latest one.
 
         A later start discards the state of the earlier one: report, distrust, rate limit, and the
@@ -380,7 +380,7 @@
                   if now_s - row.placed_s > START_KNOWN_WITHIN_S]  # fmt: skip
         for work_id in placed:
             state.ledger.remove(work_id)
-        self.on_reborn(target)
+        self.on_restart(target)
         return True
 
     def note_refused(self, target: str, box: str, now_s: float) -> None:
@@ -393,7 +393,7 @@
 
     # Notes from peers.
 
-    def take(self, message: Gossip, known: Sequence[str], now_s: float) -> None:
+    def receive(self, message: Gossip, known: Sequence[str], now_s: float) -> None:
         """Process a peer's notes on targets that this box knows."""
         for note in message.work or ():
             if all(target in known for target in note.targets or ()):
@@ -403,7 +403,7 @@
                 self._take_report(note, message.box or "", now_s)
 
     def _take_work(self, note: WorkNote, box: str, now_s: float) -> None:
-        plan = plan_of(note)
+        plan = plan_from_note(note)
         if not plan.targets:
             return
         match note.change:
@@ -414,9 +414,9 @@
             case gossip.ENDED | gossip.FAILED:
                 self.note_ended(plan)
                 failed = note.change == gossip.FAILED
-                self.note_verdict(plan.targets[0], failed, now_s, box)
+                self.note_outcome(plan.targets[0], failed, now_s, box)
             case gossip.OVERDUE:
-                self.note_verdict(plan.targets[0], True, now_s, box)
+                self.note_outcome(plan.targets[0], True, now_s, box)
             case gossip.WITHDRAWN:
                 self.note_ended(plan)
 
--- a/gladedrum/placing/members.py
+++ b/gladedrum/placing/members.py
@@ -10,7 +10,7 @@
 from ..beliefs.circle import Circle
 from ..gossip.wire.ttypes import AskNote, ChoiceNote
 from ..scheduling.questions import AnswerTimes
-from .work_plan import WorkPlan, note_of
+from .work_plan import WorkPlan, note_from_plan
 
 __all__ = ["MemberClient"]
 
@@ -98,7 +98,7 @@
         """
         if note.targets:
             plan = WorkPlan(note.work_id, tuple(note.targets))
-            self._port.tell_work(note_of(plan, gossip.WITHDRAWN))
+            self._port.tell_work(note_from_plan(plan, gossip.WITHDRAWN))
 
     def _abandon(self, work_id: str, asked: _Asked, waited_s: float) -> None:
         self._avoided_until_s[asked.member] = self._clock.seconds() + AVOIDANCE_S
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -19,10 +19,19 @@
 from ..routes import Service
 from ..scheduling.questions import WaitingQuestions
 from ..scheduling.suspects import Standing
-from .choosing import AllClosed, Barred, Choice, Chooser, Demand, Held, Hopeless, NoPlace
+from .choosing import (
+    AllTargetsClosed,
+    CannotServeInTime,
+    Choice,
+    Chooser,
+    CondemnedRequest,
+    Demand,
+    NoPlacement,
+    SuspectOnHold,
+)
 from .fleet_view import FleetView
 from .members import MemberClient
-from .work_plan import WorkPlan, note_of
+from .work_plan import WorkPlan, note_from_plan
 
 __all__ = ["Placer"]
 
@@ -33,7 +42,7 @@
 """Prompts of at least this many tokens are placed by a single box, the arbiter: two boxes that
 place long prompts at the same moment would pick the same idle engines."""
 
-HOPELESS = 0.9
+MAX_LOST_CHANCE = 0.9
 """A request is refused at once if the probability that its caller leaves before the first event is
 higher than this on the targets that serve it best. Serving it would only delay other requests."""
 
@@ -104,20 +113,20 @@
 
     async def place(
         self, work_id: str, demand: Demand, tried: Sequence[str]
-    ) -> tuple[Choice, WorkPlan] | NoPlace | None:
+    ) -> tuple[Choice, WorkPlan] | NoPlacement | None:
         """Choose where a request runs and record it in the ledgers; None if no target has room.
 
-        A `NoPlace` says why it is not placed now. Targets in `tried` are used last.
+        A `NoPlacement` says why it is not placed now. Targets in `tried` are used last.
         """
         answer = await self._ask_deciders(self._deciders(work_id, demand), work_id, demand, tried)
         if answer is None:
             return self._decide(work_id, demand, tried)
         asked_id, choice = answer
-        if isinstance(choice, NoPlace):
+        if isinstance(choice, NoPlacement):
             return choice
-        return choice, self._chooser.plan(asked_id, demand, choice)
+        return choice, self._chooser.record_choice(asked_id, demand, choice)
 
-    def take(self, message: Gossip, address: tuple[str, int]) -> None:
+    def receive(self, message: Gossip, address: tuple[str, int]) -> None:
         """Answer questions from a peer and process its answers to ours."""
         self._note_membership()
         for ask in message.asks or ():
@@ -136,19 +145,19 @@
 
     def _decide(
         self, work_id: str, demand: Demand, tried: Sequence[str]
-    ) -> tuple[Choice, WorkPlan] | NoPlace | None:
-        objection = self._chooser.objection(demand)
+    ) -> tuple[Choice, WorkPlan] | NoPlacement | None:
+        objection = self._chooser.suspect_refusal(demand)
         if objection is not None:
             return objection
         choice = self._chooser.choose(demand, tried)
         if choice is None:
             reopens_s = self._chooser.reopens_s(demand)
-            return None if reopens_s is None else AllClosed(reopens_s)
-        if choice.abandon_chance > HOPELESS and not demand.committed:
+            return None if reopens_s is None else AllTargetsClosed(reopens_s)
+        if choice.abandon_chance > MAX_LOST_CHANCE and not demand.committed:
             wait_s = choice.first_event_s - (demand.first_due_s - self._clock.seconds())
-            return Hopeless(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
-        plan = self._chooser.plan(work_id, demand, choice)
-        self._port.tell_work(note_of(plan, gossip.PLACED))
+            return CannotServeInTime(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
+        plan = self._chooser.record_choice(work_id, demand, choice)
+        self._port.tell_work(note_from_plan(plan, gossip.PLACED))
         return choice, plan
 
     def _deciders(self, work_id: str, demand: Demand) -> list[str]:
@@ -173,7 +182,7 @@
 
     async def _ask_deciders(
         self, deciders: Sequence[str], work_id: str, demand: Demand, tried: Sequence[str]
-    ) -> tuple[str, Choice | NoPlace] | None:
+    ) -> tuple[str, Choice | NoPlacement] | None:
         """Return the id used and the choice of one of `deciders`; None to decide on this box.
 
         Each question has its own id. If a member answers too late, it has already recorded the work
@@ -202,7 +211,7 @@
 
     async def _ask_cold_member(
         self, member: str, note: AskNote, work_id: str
-    ) -> tuple[str, Choice | NoPlace] | None:
+    ) -> tuple[str, Choice | NoPlacement] | None:
         """Return the choice of a cold member, used if no decider knows the fleet's work.
 
         Asking the first one makes it record this placement, so that its next decisions include it.
@@ -212,7 +221,7 @@
         answer = await self._members.ask(member, note)
         return None if answer is None else self._accept(answer, member)
 
-    def _accept(self, note: ChoiceNote, member: str) -> tuple[str, Choice | NoPlace] | None:
+    def _accept(self, note: ChoiceNote, member: str) -> tuple[str, Choice | NoPlacement] | None:
         choice = self._choice_from_note(note, member)
         if choice is not None:
             return note.work_id, choice
@@ -251,15 +260,15 @@
         since_s = self._member_since_s
         return since_s is None or self._clock.seconds() - since_s < WARM_UP_S
 
-    def _choice_from_note(self, note: ChoiceNote, member: str) -> Choice | NoPlace | None:
+    def _choice_from_note(self, note: ChoiceNote, member: str) -> Choice | NoPlacement | None:
         if note.come_back_s:
-            return Hopeless(note.come_back_s)
+            return CannotServeInTime(note.come_back_s)
         if note.condemned_s:
-            return Barred(note.condemned_s)
+            return CondemnedRequest(note.condemned_s)
         if note.held:
-            return Held()
+            return SuspectOnHold()
         if note.closed_s:
-            return AllClosed(note.closed_s)
+            return AllTargetsClosed(note.closed_s)
         entries = [self._usable_entry(name) for name in note.targets or ()]
         if not entries or None in entries:
             return None
@@ -308,27 +317,27 @@
         placed = self._decide(ask.work_id or "", demand, ask.tried or ())
         return _note_from_placement(ask.work_id, placed, self._rate_of(placed))
 
-    def _rate_of(self, placed: tuple[Choice, WorkPlan] | NoPlace | None) -> float | None:
+    def _rate_of(self, placed: tuple[Choice, WorkPlan] | NoPlacement | None) -> float | None:
         """Return the rate limit named by the target of a placement, None if there is none."""
-        if placed is None or isinstance(placed, NoPlace):
+        if placed is None or isinstance(placed, NoPlacement):
             return None
         rate = self._view.state(placed[0].main.name).rate
         return None if rate is None else rate.per_s
 
 
 def _note_from_placement(
-    work_id: str, placed: tuple[Choice, WorkPlan] | NoPlace | None, rate_per_s: float | None
+    work_id: str, placed: tuple[Choice, WorkPlan] | NoPlacement | None, rate_per_s: float | None
 ) -> ChoiceNote:
     match placed:
         case None:
             return ChoiceNote(work_id, [])
-        case Hopeless(come_back_s=come_back_s):
+        case CannotServeInTime(come_back_s=come_back_s):
             return ChoiceNote(work_id, [], come_back_s=come_back_s)
-        case Barred(come_back_s=come_back_s):
+        case CondemnedRequest(come_back_s=come_back_s):
             return ChoiceNote(work_id, [], condemned_s=come_back_s)
-        case Held():
+        case SuspectOnHold():
             return ChoiceNote(work_id, [], held=True)
-        case AllClosed(come_back_s=come_back_s):
+        case AllTargetsClosed(come_back_s=come_back_s):
             return ChoiceNote(work_id, [], closed_s=come_back_s)
         case choice, _plan:
             return ChoiceNote(
--- a/gladedrum/placing/repeat_pool.py
+++ b/gladedrum/placing/repeat_pool.py
@@ -106,7 +106,7 @@
         if grant is not Grant.PEER:
             self._shares.give_back(service, self._clock.seconds())
 
-    def take_told(self, message: Gossip, address: tuple[str, int]) -> None:
+    def receive(self, message: Gossip, address: tuple[str, int]) -> None:
         """Answer a peer's questions and process its answers."""
         for ask in message.repeat_asks or ():
             granted = self._shares.take(ask.service_name or "", self._clock.seconds())
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -21,7 +21,7 @@
 from ..utils import sleep, start
 from .fleet_view import FleetView, TargetState
 
-__all__ = ["ReportReader", "order_of", "read_report"]
+__all__ = ["ReportReader", "read_report", "responsible_boxes"]
 
 INTERVAL_S = 0.4
 """Pause between two reports of an engine, in seconds; each costs the engine as much as a probe."""
@@ -118,7 +118,7 @@
         if rate_delay_s is None:
             return False
         age_s = now_s - state.reported_s - rate_delay_s
-        match order_of(entry.name, readers).index(self._me):
+        match responsible_boxes(entry.name, readers).index(self._me):
             case 0:
                 return True
             case 1:
@@ -189,7 +189,7 @@
         return None
 
 
-def order_of(target: str, boxes: list[str]) -> list[str]:
+def responsible_boxes(target: str, boxes: list[str]) -> list[str]:
     """Return the boxes in order of responsibility for a target, by rendezvous hashing."""
 
     def weight(box: str) -> bytes:
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -8,7 +8,7 @@
   list.
 - A rest applies to the box that was answered, until a given time; kept in `FleetView`.
 
-Everything that is sent to a target passes `TargetStatements.let_out`, which enforces leaving and
+Everything that is sent to a target passes `TargetStatements.authorize`, which enforces leaving and
 rests.
 """
 
@@ -98,7 +98,7 @@
 
     # Called by the connection pool.
 
-    def let_out(self, target: str, kind: CallKind) -> int:
+    def authorize(self, target: str, kind: CallKind) -> int:
         """Check that a call may be sent to a target now; return the target's known start.
 
         A leaving target finishes the work that it has begun: its reservations are renewed and
@@ -146,7 +146,7 @@
 
     # Peers.
 
-    def take(self, message: Gossip) -> None:
+    def receive(self, message: Gossip) -> None:
         """Process a peer's notes on leaving targets."""
         for note in message.leaving_targets or ():
             if note.target:
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -168,7 +168,7 @@
         notes = [note_from_loss(loss, now_s) for loss in self._book.shared()]
         self._port.tell_losses(notes, address)
 
-    def take(self, message: Gossip) -> None:
+    def receive(self, message: Gossip) -> None:
         """Add the losses in a peer's message."""
         if message.losses:
             now_s = self._clock.seconds()
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -26,7 +26,7 @@
 from ..gossip.wire.ttypes import Gossip, PlaceAsk, PlaceGrant, RateNote, SpentNote
 from ..scheduling.rates import MAX_INTERVAL_S, SUBSTITUTE_SHARE, NamedRate, RateLimiter
 from .fleet_view import FleetView
-from .reports import order_of
+from .reports import responsible_boxes
 
 __all__ = ["ShownRate", "TargetRates"]
 
@@ -231,7 +231,7 @@
 
     # Peers.
 
-    def take(self, message: Gossip, address: tuple[str, int]) -> None:
+    def receive(self, message: Gossip, address: tuple[str, int]) -> None:
         """Process a peer's notes on rates, its questions and its answers."""
         for note in message.rates or ():
             self._take_rate(note, message.box or "")
@@ -267,7 +267,7 @@
         """Whether a note is about a listed target, and not about an earlier start."""
         if target not in self._targets.entries:
             return False
-        return self._view.note_born(target, born or 0, self._clock.seconds())
+        return self._view.note_start(target, born or 0, self._clock.seconds())
 
     def _rate_of(self, target: str, told_per_s: float | None) -> float:
         """Return the rate known here, else the one in the peer's note."""
@@ -275,7 +275,7 @@
         return rate.per_s if rate is not None else max(0.0, told_per_s or 0.0)
 
     def _order(self, target: str) -> list[str]:
-        return order_of(target, self._circle.members())
+        return responsible_boxes(target, self._circle.members())
 
     def _drop_unlisted(self) -> None:
         """Drop the counts of targets that are no longer listed."""
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -50,7 +50,7 @@
 
     def _take(self, told, address):
         super()._take(told, address)
-        self.losses.take(told)
+        self.losses.receive(told)
 
 
 class SuspectingFleet(VirtualFleet):
@@ -184,7 +184,7 @@
     fleet = SuspectingFleet(2)
     box = next(iter(fleet.boxes.values()))
     odd = [LossNote(), LossNote(BAD, "t1", 1, 9, 0.0), LossNote(BAD, None, 1, 1, 0.0)]
-    box.losses.take(Gossip("x", losses=odd))
+    box.losses.receive(Gossip("x", losses=odd))
     assert box.losses.checksum == 0
-    box.losses.take(Gossip("x", losses=[LossNote(BAD, "t1", 1, 1, -5.0)]))
+    box.losses.receive(Gossip("x", losses=[LossNote(BAD, "t1", 1, 1, -5.0)]))
     assert box.view.suspects.losses()[0].start == TargetStart("t1", 1)
--- a/gladedrum/placing/tests/test_misses.py
+++ b/gladedrum/placing/tests/test_misses.py
@@ -20,7 +20,7 @@
 def test_a_miss_before_a_peers_report_does_not_count(monkeypatch):
     monkeypatch.setattr(reports, "call_target", unanswered)
     clock, view = Clock(), FleetView()
-    second = reports.order_of(ENGINE.name, ["a", "b"])[1]
+    second = reports.responsible_boxes(ENGINE.name, ["a", "b"])[1]
     told = []
     reader = ReportReader(
         clock, None, view, lambda: [ENGINE], second, lambda: ["a", "b"], told.append
@@ -28,7 +28,7 @@
     start(reader.run())
     for _ in range(10):
         told_of = ReportNote(ENGINE.name, True, 0, 0, 1.0, 0)
-        view.take(Gossip(reports=[told_of]), {ENGINE.name}, clock.seconds())
+        view.receive(Gossip(reports=[told_of]), {ENGINE.name}, clock.seconds())
         clock.advance(INTERVAL_S)
     for _ in range(round(SECOND_READER_AGE_S / INTERVAL_S)):
         clock.advance(INTERVAL_S)
--- a/gladedrum/placing/tests/test_peers_rows.py
+++ b/gladedrum/placing/tests/test_peers_rows.py
@@ -29,11 +29,11 @@
 
 def test_a_prompt_is_read_at_its_engines_speed_regardless_of_the_number_of_notes():
     view = view_of(FAST)
-    view.take(Gossip("peer", [placed("w1", 200_000)]), ["e1"], 0.0)
+    view.receive(Gossip("peer", [placed("w1", 200_000)]), ["e1"], 0.0)
     own = EngineLedger()
     own.add(replace(view.state("e1").ledger.rows["w1"]), FAST, 0.0)
     for step in range(1, 20):
-        view.take(Gossip("peer", [placed(f"s{step}", 0)]), ["e1"], step * 0.1)
+        view.receive(Gossip("peer", [placed(f"s{step}", 0)]), ["e1"], step * 0.1)
     for step in range(1, 20):
         own.advance(FAST, step * 0.1)
     left = view.state("e1").ledger.rows["w1"].read_left
@@ -42,8 +42,8 @@
 
 def test_an_answer_progresses_by_its_engines_step_time():
     view = view_of(FAST)
-    view.take(Gossip("peer", [placed("w1", 0)]), ["e1"], 0.0)
-    view.take(Gossip("peer", [WorkNote("w1", gossip.FIRST_EVENT, ["e1"])]), ["e1"], 0.0)
+    view.receive(Gossip("peer", [placed("w1", 0)]), ["e1"], 0.0)
+    view.receive(Gossip("peer", [WorkNote("w1", gossip.FIRST_EVENT, ["e1"])]), ["e1"], 0.0)
     left = view.state("e1").ledger.rows["w1"].work(0.5, FAST).answer_left
     # The engine spends part of the time on reading.
     assert 800 - 0.5 / FAST.step_s < left < 800 - 0.8 * 0.5 / FAST.step_s
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -51,8 +51,8 @@
         told = gossip.decode(data)
         world = self.worlds.get(address[1])
         if world is not None and told.box != world.port._box:
-            world.view.take(told, world.targets.entries.keys(), world.net.seconds())
-            world.ctx.placer.take(told, (told.box, world.addresses[told.box]))
+            world.view.receive(told, world.targets.entries.keys(), world.net.seconds())
+            world.ctx.placer.receive(told, (told.box, world.addresses[told.box]))
             world.net.advance(0)
 
 
--- a/gladedrum/placing/tests/test_reborn.py
+++ b/gladedrum/placing/tests/test_reborn.py
@@ -23,10 +23,10 @@
     """A view in which the old start of an engine has work, a pace and one failed request."""
     view = FleetView()
     view.reborn = []
-    view.on_reborn = view.reborn.append
+    view.on_restart = view.reborn.append
     view.note_report("e1", report(OLD, pace=3.0, used=90_000), 10.0)
     view.note_placed(WorkPlan("w1", ("e1",), 50_000, 100, reserved=True), 10.0)
-    view.note_verdict("e1", failed=True, now_s=10.5)
+    view.note_outcome("e1", failed=True, now_s=10.5)
     return view
 
 
@@ -44,7 +44,7 @@
 
 
 def test_an_entry_of_a_later_start_discards_the_state_of_the_earlier_one(view):
-    view.note_born("e1", NEW, 13.0)
+    view.note_start("e1", NEW, 13.0)
     assert is_reset(view)
     assert view.state("e1").report is None
     assert view.reborn == ["e1"]
@@ -52,7 +52,7 @@
 
 def test_a_peers_note_of_a_later_start_discards_the_state_of_the_earlier_one(view):
     note = ReportNote("e1", True, 0, 0, 1.0, 0, False, NEW)
-    view.take(Gossip("peer", [], [note]), ["e1"], 13.0)
+    view.receive(Gossip("peer", [], [note]), ["e1"], 13.0)
     assert is_reset(view)
     assert view.reborn == ["e1"]
 
@@ -67,8 +67,8 @@
     view.note_report("e1", report(NEW), 13.0)
     view.note_report("e1", report(OLD, pace=3.0, used=90_000), 13.1)
     note = ReportNote("e1", True, 3, 3, 3.0, 90_000, False, OLD)
-    view.take(Gossip("peer", [], [note]), ["e1"], 13.1)
-    view.note_born("e1", OLD, 13.2)
+    view.receive(Gossip("peer", [], [note]), ["e1"], 13.1)
+    view.note_start("e1", OLD, 13.2)
     assert is_reset(view)
     assert view.state("e1").report.pace == 1.0
     assert view.state("e1").born == NEW
@@ -77,13 +77,13 @@
 
 def test_a_late_note_that_the_earlier_start_was_silent_is_ignored(view):
     view.note_report("e1", report(NEW), 13.0)
-    view.take(Gossip("peer", [], [ReportNote("e1", False, born=OLD)]), ["e1"], 15.0)
+    view.receive(Gossip("peer", [], [ReportNote("e1", False, born=OLD)]), ["e1"], 15.0)
     assert not view.state("e1").is_suspect
 
 
 def test_a_report_without_a_start_keeps_the_state(view):
     view.note_report("e1", report(0, pace=2.0), 13.0)
-    view.note_born("e1", 0, 13.0)
+    view.note_start("e1", 0, 13.0)
     assert "w1" in view.state("e1").ledger.rows
     assert view.state("e1").report.pace == 2.0
     assert view.reborn == []
@@ -91,9 +91,9 @@
 
 def test_a_first_report_with_the_start_of_the_entry_is_no_restart():
     view = FleetView()
-    view.on_reborn = lambda _target: pytest.fail("it has started once")
+    view.on_restart = lambda _target: pytest.fail("it has started once")
     view.note_report("e1", report(0), 10.0)
     view.note_placed(WorkPlan("w1", ("e1",), 50_000, 100), 10.0)
-    view.note_born("e1", OLD, 11.0)
+    view.note_start("e1", OLD, 11.0)
     view.note_report("e1", report(OLD), 11.1)
     assert "w1" in view.state("e1").ledger.rows
--- a/gladedrum/placing/tests/test_repeats.py
+++ b/gladedrum/placing/tests/test_repeats.py
@@ -68,10 +68,10 @@
 
         def ask_repeat(self, address, ask):
             if not lost:
-                pools[address[1]].take_told(Gossip(repeat_asks=[ask]), addresses[self.name])
+                pools[address[1]].receive(Gossip(repeat_asks=[ask]), addresses[self.name])
 
         def grant_repeat(self, address, grant):
-            pools[address[1]].take_told(Gossip(repeat_grants=[grant]), ("10.0.1.1", 0))
+            pools[address[1]].receive(Gossip(repeat_grants=[grant]), ("10.0.1.1", 0))
 
     for name in addresses:
         others = {n: a for n, a in addresses.items() if n != name}
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -45,7 +45,7 @@
     def _take(self, told, address):
         super()._take(told, address)
         known = self.beliefs.targets.entries.keys()
-        self.view.take(told, known, self.fleet.clock.seconds())
+        self.view.receive(told, known, self.fleet.clock.seconds())
 
 
 class ReadingFleet(VirtualFleet):
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -16,7 +16,7 @@
 @pytest.fixture
 def world():
     world = World(targets=2)
-    world.view.note_born("t1", OLD, 0.0)
+    world.view.note_start("t1", OLD, 0.0)
     return world
 
 
@@ -29,7 +29,7 @@
     kinds = set()
     for kind in CallKind:
         try:
-            assert world.statements.let_out(target, kind) == world.view.state(target).born
+            assert world.statements.authorize(target, kind) == world.view.state(target).born
         except NotNowError:
             continue
         kinds.add(kind)
@@ -59,15 +59,15 @@
 
 def test_an_unlisted_target_gets_all_calls_but_new_work(world):
     answer_with(world, RESTS, target="t9")
-    assert world.statements.let_out("t9", CallKind.FREE) == 0
+    assert world.statements.authorize("t9", CallKind.FREE) == 0
     with pytest.raises(NotNowError, match="leaving"):
-        world.statements.let_out("t9", CallKind.REQUEST)
+        world.statements.authorize("t9", CallKind.REQUEST)
 
 
 @pytest.mark.parametrize("said", [LEAVES, RESTS])
 def test_statements_of_an_earlier_start_do_not_bind_a_later_one(world, said):
     answer_with(world, said)
-    world.view.note_born("t1", NEW, world.net.seconds())
+    world.view.note_start("t1", NEW, world.net.seconds())
     assert allowed_kinds(world) == set(CallKind)
     answer_with(world, said, born=OLD)
     assert allowed_kinds(world) == set(CallKind)
@@ -98,16 +98,16 @@
 def test_a_peers_note_of_leaving_applies_to_the_same_start_only(world):
     early = Gossip("peer", leaving_targets=[LeavingNote("t1", OLD - 1), LeavingNote("t9", OLD)])
     world.targets.note_start("t1", OLD)
-    world.statements.take(early)
+    world.statements.receive(early)
     assert world.targets.may_get_work("t1")
-    world.statements.take(Gossip("peer", leaving_targets=[LeavingNote("t1", OLD)]))
+    world.statements.receive(Gossip("peer", leaving_targets=[LeavingNote("t1", OLD)]))
     assert not world.targets.may_get_work("t1")
 
 
 def test_operators_see_leaving_targets_with_their_source_and_resting_targets(world):
     answer_with(world, RESTS)
     answer_with(world, LEAVES)
-    world.statements.take(Gossip("peer", leaving_targets=[LeavingNote("t2", 0)]))
+    world.statements.receive(Gossip("peer", leaving_targets=[LeavingNote("t2", 0)]))
     world.net.advance(1.0)
     shown = world.statements.shown()
     assert [(row["target"], row["told_by"]) for row in shown["leaving"]] == [
@@ -116,7 +116,7 @@
     ]
     assert {row["heard_age_s"] for row in shown["leaving"]} == {1.0}
     assert shown["rests"] == [{"target": "t1", "left_s": 2.0}]
-    world.view.note_born("t1", NEW, world.net.seconds())
+    world.view.note_start("t1", NEW, world.net.seconds())
     shown = world.statements.shown()
     assert [row["target"] for row in shown["leaving"]] == ["t2"]
     assert shown["rests"] == []
@@ -126,7 +126,7 @@
     entries = {name: entry._replace(born=OLD) for name, entry in world.targets.entries.items()}
     world.targets.entries = {"t2": entries["t2"]}
     answer_with(world, LEAVES)
-    world.statements.take(Gossip("peer", leaving_targets=[LeavingNote("t3", OLD)]))
+    world.statements.receive(Gossip("peer", leaving_targets=[LeavingNote("t3", OLD)]))
     world.targets._replace({**entries, "t3": entries["t1"]._replace(name="t3")})
     assert [name for name in entries if world.targets.may_get_work(name)] == ["t2"]
     assert not world.targets.may_get_work("t3")
@@ -137,10 +137,10 @@
 def test_a_rest_survives_a_lapse_of_the_targets_entry(world):
     answer_with(world, RESTS)
     world.view.forget("t1")
-    world.view.note_born("t1", OLD, world.net.seconds())
+    world.view.note_start("t1", OLD, world.net.seconds())
     assert allowed_kinds(world) == {CallKind.RENEW}
     world.view.forget("t1")
-    world.view.note_born("t1", NEW, world.net.seconds())
+    world.view.note_start("t1", NEW, world.net.seconds())
     assert allowed_kinds(world) == set(CallKind)
 
 
--- a/gladedrum/placing/work_plan.py
+++ b/gladedrum/placing/work_plan.py
@@ -4,7 +4,7 @@
 
 from ..gossip.wire.ttypes import WorkNote
 
-__all__ = ["WorkPlan", "box_of", "note_of", "plan_of", "work_id_of"]
+__all__ = ["WorkPlan", "box_of", "note_from_plan", "plan_from_note", "work_id_of"]
 
 _NEVER_S = float("inf")
 
@@ -67,7 +67,7 @@
     return work_id.rpartition("_")[0]
 
 
-def note_of(plan: WorkPlan, change: int) -> WorkNote:
+def note_from_plan(plan: WorkPlan, change: int) -> WorkNote:
     """Return the note that tells peers about a change of the work."""
     return WorkNote(
         plan.work_id,
@@ -85,7 +85,7 @@
     )
 
 
-def plan_of(note: WorkNote) -> WorkPlan:
+def plan_from_note(note: WorkNote) -> WorkPlan:
     """Return the plan in a peer's note."""
     return WorkPlan(
         note.work_id or "",
