--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -13,7 +13,7 @@
 from benchmarks.forward_roles import _cpu_us, _entries
 from benchmarks.measure import save
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.placing.choosing import Chooser, Demand
 from gladedrum.placing.fleet_view import FleetView
 from gladedrum.placing.work_plan import WorkPlan
@@ -54,7 +54,7 @@
         view.note_placed(plan, clock.seconds())
         if rng.random() < 0.8:
             view.note_first_event(plan, clock.seconds())
-    targets = TargetKeeper(clock, None, 3.0, lambda _entry: None, StorePace(clock, rng))
+    targets = TargetListFollower(clock, None, 3.0, lambda _entry: None, StorePace(clock, rng))
     targets.entries = entries
     return clock, Chooser("box-1", clock, targets, view), view
 
--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -14,12 +14,12 @@
 
 from benchmarks.measure import fit, save
 from gladedrum import gossip
-from gladedrum.beliefs.circle import Circle
-from gladedrum.beliefs.configuration import ConfigurationKeeper
+from gladedrum.beliefs.configuration import ConfigurationFollower
+from gladedrum.beliefs.coordinators import CoordinatorGroup
 from gladedrum.beliefs.membership import BoxRegistry
+from gladedrum.beliefs.peer_sync import PeerSync
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
-from gladedrum.beliefs.vouching import PeerVouching
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.fleet import TargetEntry
 from gladedrum.gossip.wire.ttypes import Gossip
 from gladedrum.placing.choosing import Chooser, Demand
@@ -73,10 +73,10 @@
 
     def __init__(self, box: str):
         self._box = box
-        self.other: PeerVouching | None = None
+        self.other: PeerSync | None = None
 
     def _pass(self, told: Gossip) -> None:
-        self.other.take(gossip.decode(gossip.encode(told)), ("10.0.0.1", 1))
+        self.other.receive(gossip.decode(gossip.encode(told)), ("10.0.0.1", 1))
 
     def ask_vouch(self, _address, ask) -> None:
         self._pass(Gossip(self._box, vouch_asks=[ask]))
@@ -88,7 +88,7 @@
         self._pass(Gossip(self._box, list_parts=[part]))
 
 
-class _Circle(Circle):
+class _SingleMemberGroup(CoordinatorGroup):
     """A circle of one member."""
 
     def __init__(self, me: str):
@@ -98,20 +98,20 @@
         return ["member"]
 
 
-def _vouching(name: str, clock: Clock, entries: dict[str, TargetEntry]) -> PeerVouching:
+def _peer_sync(name: str, clock: Clock, entries: dict[str, TargetEntry]) -> PeerSync:
     pace = StorePace(clock, random.Random(1), lambda: name != "member")
-    configuration = ConfigurationKeeper(clock, None, 3.0, pace)
+    configuration = ConfigurationFollower(clock, None, 3.0, pace)
     configuration._apply(RouteTable(7))
-    configuration._vouch(clock.seconds())
-    targets = TargetKeeper(clock, None, 3.0, lambda _entry: None, pace)
+    configuration._confirm(clock.seconds())
+    targets = TargetListFollower(clock, None, 3.0, lambda _entry: None, pace)
     targets.entries = entries
     targets._read_s = clock.seconds()
     table = TableInForce(clock)
     follower = TableFollower(clock, None, table, lambda: True)
-    circle = _Circle(name)
+    coordinators = _SingleMemberGroup(name)
     registry = BoxRegistry(clock, None, name, ("10.0.0.9", 9), random.Random(1))
-    return PeerVouching(
-        clock, circle, registry, _Wire(name), configuration, targets, table, follower, pace
+    return PeerSync(
+        clock, coordinators, registry, _Wire(name), configuration, targets, table, follower, pace
     )
 
 
@@ -145,7 +145,7 @@
         for number in range(int(count * REQUESTS_AN_ENGINE)):
             plan = _plan(number, [rng.choice(list(entries))], rng.choice([3_000, 8_000, 45_000]))
             view.note_placed(plan, clock.seconds())
-        targets = TargetKeeper(clock, None, 3.0, lambda _entry: None, StorePace(clock, rng))
+        targets = TargetListFollower(clock, None, 3.0, lambda _entry: None, StorePace(clock, rng))
         targets.entries = entries
         chooser = Chooser("box-1", clock, targets, view)
         for size, prompt in SIZES.items():
@@ -157,21 +157,21 @@
     return rows
 
 
-def measure_vouching() -> list[dict]:
+def measure_peer_sync() -> list[dict]:
     """A question and its answer, and the same with another list, against the list's length."""
     rows = []
     for count in ENGINES:
         clock = Clock()
         clock.advance(100.0)
-        member = _vouching("member", clock, _entries(count))
-        asker = _vouching("asker", clock, _entries(count))
+        member = _peer_sync("member", clock, _entries(count))
+        asker = _peer_sync("asker", clock, _entries(count))
         member._port.other, asker._port.other = asker, member
         same_us = _cpu_us(asker._ask, 300)
 
         def ask_with_another_list(asker=asker, member=member, clock=clock) -> None:
             clock.advance(0.001)
             _toggle(member._targets, clock.seconds())
-            asker._targets._gone.clear()
+            asker._targets._gone_starts.clear()
             asker._ask()
 
         rows.append(
@@ -180,7 +180,7 @@
     return rows
 
 
-def _toggle(targets: TargetKeeper, read_s: float) -> None:
+def _toggle(targets: TargetListFollower, read_s: float) -> None:
     """Take a target out of a list, or put it in again."""
     entries = dict(targets.entries)
     if TOGGLED in entries:
@@ -193,9 +193,9 @@
 
 def main() -> None:
     """Measure all and write the results."""
-    vouching = measure_vouching()
+    peer_sync = measure_peer_sync()
     placement = measure_placement()
-    other = fit([(row["targets"], row["other_us"]) for row in vouching])
+    other = fit([(row["targets"], row["other_us"]) for row in peer_sync])
     shorts = [row for row in placement if row["size"] == "short"]
     by_engines = fit([(row["engines"], row["us"]) for row in shorts])
     save(
@@ -204,7 +204,7 @@
             "datagram": measure_datagram(),
             "placement": placement,
             "placement_short_us_an_engine": by_engines._asdict(),
-            "vouching": vouching,
+            "vouching": peer_sync,
             "list_us_a_target": other._asdict(),
         },
     )
--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -23,7 +23,7 @@
 from benchmarks.measure import save
 from benchmarks.pass_engine import Part, PassEngine, Stream
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.placing import choosing
 from gladedrum.placing.choosing import Chooser, Demand
 from gladedrum.placing.fleet_view import FleetView
@@ -127,7 +127,7 @@
         self._clock.advance(START_S)
         self._service = Service("pool", TRAITS)
         self._view = FleetView(lambda _target: TRAITS)
-        targets = TargetKeeper(
+        targets = TargetListFollower(
             self._clock, None, 3.0, lambda _entry: None, StorePace(self._clock, self._rng)
         )
         targets.entries = _entries(engines)
--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -19,7 +19,7 @@
 from ..utils import sleep
 from .store_pace import StorePace
 
-__all__ = ["ConfigurationKeeper"]
+__all__ = ["ConfigurationFollower"]
 
 WATCH_S = 1.1
 """Duration of one watch for a newer configuration, in seconds. Each watch is paid for, and confirms
@@ -49,7 +49,7 @@
 _log = logging.getLogger(__name__)
 
 
-class ConfigurationKeeper:
+class ConfigurationFollower:
     """Follows the configuration; only a higher version replaces the one in force.
 
     Parameters
@@ -113,7 +113,7 @@
         self._change_bound_s = change_bound_s
         self._max_age_s = change_bound_s - READ_MARGIN_S
 
-    def note_era(self) -> None:
+    def note_store_restored(self) -> None:
         """Read everything again after a restore of the store, and distrust it for a while."""
         self._revision = None
         self._distrusted_until_s = self._clock.seconds() + RESTORE_DISTRUST_S
@@ -208,7 +208,7 @@
             self._store_is_behind = news.table.version < self.table.version
         is_distrusted = sent_s < self._distrusted_until_s and self.table is before
         if not is_distrusted and not self._store_is_behind:
-            self._vouch(sent_s)
+            self._confirm(sent_s)
 
     def _apply(self, table: RouteTable | None, raw: bytes = b"") -> None:
         if table is None:
@@ -222,7 +222,7 @@
             extra={"version": table.version, "before": in_force, "routes": len(table.routes)},
         )
 
-    def _vouch(self, sent_s: float) -> None:
+    def _confirm(self, sent_s: float) -> None:
         if not self._connected:
             _log.info("configuration read again", extra={"age_s": round(self.age_s, 3)})
         self._connected = True
--- a/gladedrum/beliefs/circle.py
+++ b/gladedrum/beliefs/coordinators.py
@@ -9,24 +9,31 @@
 from collections.abc import Callable, Mapping
 from functools import lru_cache
 
-__all__ = ["ASK_S", "CIRCLE_SIZE", "SMALL_FLEET", "Circle", "precedence", "rank"]
+__all__ = [
+    "ANSWER_TIMEOUT_S",
+    "GROUP_SIZE",
+    "SMALL_FLEET",
+    "CoordinatorGroup",
+    "precedence",
+    "rank",
+]
 
 SMALL_FLEET = 12
 """In fleets of up to this many boxes every box is a member."""
 
-CIRCLE_SIZE = 4
+GROUP_SIZE = 4
 """Members in a larger fleet: tolerates the loss of several, at few datagrams per change."""
 
-READERS = 2
+READER_COUNT = 2
 """Readers: boxes that read the list of targets for all others, because each read is paid for. If
 one is lost, the other still answers every second question, which is often enough."""
 
-ASK_S = 0.04
+ANSWER_TIMEOUT_S = 0.04
 """Time limit for a member's answer that needs no decision, in seconds: a few round trips between
 data halls."""
 
 
-class Circle:
+class CoordinatorGroup:
     """Determines the members of the coordinator group.
 
     Parameters
@@ -65,7 +72,7 @@
     def _select_members(self, names: list[str]) -> list[str]:
         if len(names) <= SMALL_FLEET:
             return names
-        return sorted(names, key=self._precedence)[:CIRCLE_SIZE]
+        return sorted(names, key=self._precedence)[:GROUP_SIZE]
 
     def _precedence(self, name: str) -> tuple[float, bytes]:
         return precedence(name, self._capacity_of(name))
@@ -73,10 +80,10 @@
     def readers(self) -> list[str]:
         """Return the boxes that read the list of targets for the others."""
         if self.is_whole_fleet:
-            return self.arbiters()[:READERS]
+            return self.ranked_members()[:READER_COUNT]
         return self.members()
 
-    def leaves_list_to_others(self) -> bool:
+    def follows_readers(self) -> bool:
         """Whether this box receives the list of targets from the readers."""
         return self.me not in self.readers()
 
@@ -85,7 +92,7 @@
         """Whether every box is a member."""
         return len(self._peers()) + 1 <= SMALL_FLEET
 
-    def arbiters(self) -> list[str]:
+    def ranked_members(self) -> list[str]:
         """Return the members by precedence; the first one places long prompts.
 
         While it answers, a single box places all long prompts, so that none collide.
@@ -104,7 +111,7 @@
         """Return a box's address for datagrams; None if it has left or restarted."""
         return self._peers().get(name)
 
-    def audience(self) -> list[tuple[str, int]]:
+    def recipients(self) -> list[tuple[str, int]]:
         """Return the addresses of the other members, which receive all changes of requests."""
         peers = self._peers()
         return [peers[name] for name in self.members() if name != self.me]
--- a/gladedrum/beliefs/membership.py
+++ b/gladedrum/beliefs/membership.py
@@ -21,7 +21,7 @@
 from ..errors import KVConflictError, KVUnavailableError, KVUnknownError
 from ..platform.store import NEVER, Lease, Revision, StoreClient
 from ..utils import sleep
-from .circle import SMALL_FLEET, precedence, rank
+from .coordinators import SMALL_FLEET, precedence, rank
 
 __all__ = ["BoxEntry", "BoxRegistry", "digest_of", "valid_capacity"]
 
@@ -174,7 +174,7 @@
         entry = self.entries.get(name)
         return entry.capacity if entry is not None else self._reported_capacity.get(name, 0.0)
 
-    def note_heard(
+    def note_datagram(
         self, name: str, address: tuple[str, int], capacity: float | None = None
     ) -> None:
         """Record a datagram from a box; it replaces any earlier start at the same address."""
@@ -292,7 +292,7 @@
         finally:
             self._wakeup = None
 
-    def note_era(self) -> None:
+    def note_store_restored(self) -> None:
         """Discard the lease after the store was restored from an earlier copy.
 
         The store may have reissued the lease's number to another box, so it is neither renewed nor
--- a/gladedrum/beliefs/vouching.py
+++ b/gladedrum/beliefs/peer_sync.py
@@ -29,15 +29,15 @@
 from ..platform.store import NEVER, Revision
 from ..table import TableFollower, TableInForce
 from ..utils import sleep
-from .circle import Circle
-from .configuration import ConfigurationKeeper
+from .configuration import ConfigurationFollower
 from .configuration_parts import ReceivedConfiguration, configuration_parts
+from .coordinators import CoordinatorGroup
 from .list_parts import SentLists, changed_list, list_parts, whole_list
 from .membership import BoxEntry, BoxRegistry, digest_of, valid_capacity
 from .store_pace import StorePace
-from .target_list import TargetKeeper
+from .target_list import TargetListFollower
 
-__all__ = ["PeerVouching"]
+__all__ = ["PeerSync"]
 
 ASK_INTERVAL_S = 0.5
 """Interval between questions, in seconds: several questions within the shortest bound."""
@@ -67,7 +67,7 @@
     def note_compared(self) -> None:
         """Record a comparison with a box that is informed."""
 
-    def tell_all(self, address: tuple[str, int]) -> None:
+    def send_all(self, address: tuple[str, int]) -> None:
         """Send all known losses to a box."""
 
 
@@ -80,20 +80,20 @@
     parts: dict[int, ListPart] = field(default_factory=dict)
 
 
-class PeerVouching:
+class PeerSync:
     """Asks peers for newer state and answers their questions.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : Circle
+    coordinators : CoordinatorGroup
         The coordinator group, whose members answer.
     registry : BoxRegistry
         Membership of the fleet.
     port : GossipPort
         Sends datagrams to other boxes.
-    configuration, targets : ConfigurationKeeper, TargetKeeper
+    configuration, targets : ConfigurationFollower, TargetListFollower
         The copies to keep up to date.
     table : TableInForce
         The table of weights and limits.
@@ -112,11 +112,11 @@
     def __init__(
         self,
         clock: IReactorTime,
-        circle: Circle,
+        coordinators: CoordinatorGroup,
         registry: BoxRegistry,
         port: GossipPort,
-        configuration: ConfigurationKeeper,
-        targets: TargetKeeper,
+        configuration: ConfigurationFollower,
+        targets: TargetListFollower,
         table: TableInForce,
         table_follower: TableFollower,
         pace: StorePace,
@@ -125,7 +125,7 @@
         keeps_asking: bool = False,
     ):
         self._clock = clock
-        self._circle = circle
+        self._coordinators = coordinators
         self._registry = registry
         self._port = port
         self._configuration = configuration
@@ -149,12 +149,12 @@
         while True:
             if self._keeps_asking and self._registry.revision == NEVER:
                 self._ask_address(self._seeds[next(self._rotation) % len(self._seeds)])
-            if self._circle.leaves_list_to_others() or not self._configuration.is_current:
+            if self._coordinators.follows_readers() or not self._configuration.is_current:
                 self._ask()
             current = self._configuration.is_current
             await sleep(self._clock, ASK_INTERVAL_S if current else STALE_ASK_INTERVAL_S)
 
-    def take(self, received: Gossip, address: tuple[str, int]) -> None:
+    def receive(self, received: Gossip, address: tuple[str, int]) -> None:
         """Answer the questions and apply the answers in a datagram."""
         for ask in received.vouch_asks or ():
             self._answer(ask, address)
@@ -189,19 +189,23 @@
     def _address_to_ask(self) -> tuple[str, int] | None:
         """Return the next box to ask: a reader, or any member if the configuration is stale."""
         current = self._configuration.is_current
-        names = self._circle.readers() if current else self._circle.members()
-        others = [name for name in names if name != self._circle.me]
-        return self._circle.address(others[next(self._rotation) % len(others)]) if others else None
+        names = self._coordinators.readers() if current else self._coordinators.members()
+        others = [name for name in names if name != self._coordinators.me]
+        return (
+            self._coordinators.address(others[next(self._rotation) % len(others)])
+            if others
+            else None
+        )
 
     def _compare_losses(self, theirs: int | None, address: tuple[str, int]) -> None:
         """Send known losses if the checksums differ; earlier versions send no checksum."""
         if theirs is not None and theirs != self._losses.checksum:
-            self._losses.tell_all(address)
+            self._losses.send_all(address)
 
     def _answer(self, ask: VouchAsk, address: tuple[str, int]) -> None:
         self._compare_losses(ask.losses, address)
         table = self._configuration.table
-        if table is None or not self._circle.includes_me():
+        if table is None or not self._coordinators.includes_me():
             self._send_boxes(ask, address)
             return
         self._send_configuration(ask, address)
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -14,11 +14,11 @@
 from ..table import TableFollower, TableInForce, TableStore
 from ..utils import sleep
 from ..utils.supervisor import Child
-from .circle import Circle
-from .configuration import ConfigurationKeeper
+from .configuration import ConfigurationFollower
+from .coordinators import CoordinatorGroup
 from .membership import BoxRegistry
 from .store_pace import StorePace
-from .target_list import TargetKeeper
+from .target_list import TargetListFollower
 
 __all__ = ["StoreBeliefs"]
 
@@ -96,13 +96,13 @@
 
     Attributes
     ----------
-    configuration, targets : ConfigurationKeeper, TargetKeeper
+    configuration, targets : ConfigurationFollower, TargetListFollower
         Followers of the operator's configuration and of the list of targets.
     table, table_store, table_follower : TableInForce, TableStore, TableFollower
         The table of weights and limits, its storage and its follower.
     registry : BoxRegistry
         Membership of the fleet.
-    circle : Circle
+    coordinators : CoordinatorGroup
         The coordinator group.
     pace : StorePace
         Decides how often the store is called.
@@ -130,15 +130,19 @@
         self.registry = BoxRegistry(
             reactor, store, box, settings.peers, rng, settings.capacity, stagger_s
         )
-        self.circle = Circle(box, lambda: self.registry.peers, self.registry.capacity_of)
-        self.table_follower = TableFollower(reactor, store, self.table, self.circle.excludes_me)
+        self.coordinators = CoordinatorGroup(
+            box, lambda: self.registry.peers, self.registry.capacity_of
+        )
+        self.table_follower = TableFollower(
+            reactor, store, self.table, self.coordinators.excludes_me
+        )
         self.pace = StorePace(
-            reactor, rng, self.circle.excludes_me, self.circle.leaves_list_to_others
+            reactor, rng, self.coordinators.excludes_me, self.coordinators.follows_readers
         )
-        self.configuration = ConfigurationKeeper(
+        self.configuration = ConfigurationFollower(
             reactor, ConfigurationFeed(store), settings.change_bound_s, self.pace
         )
-        self.targets = TargetKeeper(
+        self.targets = TargetListFollower(
             reactor, TargetFeed(store), settings.leave_bound_s, on_gone, self.pace, on_listed
         )
 
@@ -157,10 +161,10 @@
             "edits_held": len(self.table.held),
         }
         _log.warning("the store was restored from an earlier copy", extra=extra)
-        self.configuration.note_era()
-        self.targets.note_era()
-        self.registry.note_era()
-        self.table_follower.note_era()
+        self.configuration.note_store_restored()
+        self.targets.note_store_restored()
+        self.registry.note_store_restored()
+        self.table_follower.note_store_restored()
 
     @property
     def is_informed(self) -> bool:
--- a/gladedrum/beliefs/target_list.py
+++ b/gladedrum/beliefs/target_list.py
@@ -18,7 +18,7 @@
 from ..utils import sleep
 from .store_pace import StorePace
 
-__all__ = ["TargetKeeper"]
+__all__ = ["TargetListFollower"]
 
 READ_INTERVAL_FRACTION = 0.4
 """Interval between reads of the list, as a fraction of the leave bound, which fits two reads."""
@@ -48,7 +48,7 @@
 _log = logging.getLogger(__name__)
 
 
-class TargetKeeper:
+class TargetListFollower:
     """Follows the list of targets.
 
     Parameters
@@ -94,7 +94,7 @@
         self._grace_until_s = float("-inf")
         self._hold_until_s = float("-inf")
         self._connected = True
-        self._gone: dict[str, int] = {}
+        self._gone_starts: dict[str, int] = {}
         self._leaving_starts: dict[str, int] = {}
         self._digest = ""
         self._digest_of: Mapping[str, TargetEntry] | None = None
@@ -119,7 +119,7 @@
         """Return the targets of a service that accept new requests."""
         return [e for e in self.entries.values() if e.service == service and not e.leaving]
 
-    def may_get_work(self, name: str) -> bool:
+    def accepts_requests(self, name: str) -> bool:
         """Whether a target is listed and not leaving."""
         entry = self.entries.get(name)
         return entry is not None and not entry.leaving
@@ -151,7 +151,7 @@
         """Apply a changed bound from the next read on."""
         self._leave_bound_s = leave_bound_s
 
-    def note_era(self) -> None:
+    def note_store_restored(self) -> None:
         """Expect missing and outdated entries after a restore of the store.
 
         Entries that it lacks may be written again, as after an outage; entries that it has may
@@ -182,7 +182,7 @@
     def confirm_from_peer(self, digest: str, sent_s: float, age_s: float) -> None:
         """Confirm the list if a peer, asked at `sent_s`, has an equal one that is `age_s` old."""
         if digest == self.digest:
-            self._note_vouched(sent_s - age_s)
+            self._note_confirmed(sent_s - age_s)
 
     def apply_peer_list(self, listed: Mapping[str, TargetEntry], read_s: float) -> None:
         """Apply a peer's whole list, which was confirmed at `read_s`.
@@ -205,9 +205,9 @@
         self._peer_list_s = read_s
         news = {name: entry for name, entry in listed.items() if not self._is_known_gone(entry)}
         for name in news:
-            self._gone.pop(name, None)
+            self._gone_starts.pop(name, None)
         if len(news) == len(listed):
-            self._note_vouched(read_s)
+            self._note_confirmed(read_s)
         self._replace(news)
 
     @property
@@ -216,7 +216,7 @@
         share = PEER_LIST_AGE_FRACTION if self._pace.follows_list() else READ_INTERVAL_FRACTION
         return share * self._leave_bound_s
 
-    def _note_vouched(self, read_s: float) -> None:
+    def _note_confirmed(self, read_s: float) -> None:
         self._read_s = max(self._read_s, read_s)
         if not self._connected and self.age_s < self._max_age_s:
             _log.info("list of targets confirmed again", extra={"age_s": round(self.age_s, 3)})
@@ -232,7 +232,7 @@
         if self._clock.seconds() < self._hold_until_s:
             listed = {n: entry for n, entry in listed.items() if not self._is_known_gone(entry)}
         for name in listed:
-            self._gone.pop(name, None)
+            self._gone_starts.pop(name, None)
         self._replace(listed)
 
     def _note_outage(self) -> None:
@@ -261,7 +261,7 @@
 
     def _is_known_gone(self, entry: TargetEntry) -> bool:
         """Whether this start of a target is known to be gone."""
-        gone_born = self._gone.get(entry.name)
+        gone_born = self._gone_starts.get(entry.name)
         return gone_born is not None and entry.born <= gone_born
 
     def _is_known_leaving(self, entry: TargetEntry) -> bool:
@@ -271,7 +271,7 @@
 
     def _note_gone(self, entry: TargetEntry) -> None:
         _log.info("target gone", extra={"target": entry.name, "service": entry.service})
-        _remember(self._gone, entry.name, entry.born)
+        _remember(self._gone_starts, entry.name, entry.born)
         if not self._leaving_starts.get(entry.name):
             # Without a start time, a later start cannot be told apart from this one.
             self._leaving_starts.pop(entry.name, None)
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -12,8 +12,8 @@
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
+from gladedrum.beliefs.peer_sync import PeerSync
 from gladedrum.beliefs.store_beliefs import StoreBeliefs
-from gladedrum.beliefs.vouching import PeerVouching
 from gladedrum.errors import KVConflictError, KVUnavailableError
 from gladedrum.gossip import GossipPort, is_farewell
 from gladedrum.platform import wire
@@ -193,7 +193,7 @@
     def note_compared(self) -> None:
         pass
 
-    def tell_all(self, _address) -> None:
+    def send_all(self, _address) -> None:
         raise AssertionError("there is nothing to tell")
 
 
@@ -222,7 +222,7 @@
         self.port = GossipPort(
             name,
             fleet.clock,
-            self.beliefs.circle.audience,
+            self.beliefs.coordinators.recipients,
             lambda: [entry.address for entry in registry.entries.values()],
             self._take,
             capacity,
@@ -230,9 +230,9 @@
         self.port.transport = SimpleNamespace(write=self._send)
         registry.on_listed = self.port.say_hello
         self.losses = self.make_losses()
-        self.vouching = PeerVouching(
+        self.peer_sync = PeerSync(
             fleet.clock,
-            self.beliefs.circle,
+            self.beliefs.coordinators,
             registry,
             self.port,
             self.beliefs.configuration,
@@ -245,7 +245,7 @@
             settings.waits_for_seeds,
         )
         self.running = [start(child.run()) for child in self.beliefs.children()]
-        self.running.append(start(self.vouching.run()))
+        self.running.append(start(self.peer_sync.run()))
         for task in self.running:
             task.addErrback(lambda failure: failure.trap(defer.CancelledError))
 
@@ -255,7 +255,7 @@
 
     def leave(self) -> None:
         """Begin a planned stop; the box still serves."""
-        if not self.beliefs.circle.is_whole_fleet:
+        if not self.beliefs.coordinators.is_whole_fleet:
             start(self.beliefs.registry.leave())
 
     def end(self) -> None:
@@ -283,8 +283,8 @@
         if is_farewell(received):
             self.beliefs.registry.note_ended(received.box, address)
             return
-        self.beliefs.registry.note_heard(received.box, address, received.capacity)
-        self.vouching.take(received, address)
+        self.beliefs.registry.note_datagram(received.box, address, received.capacity)
+        self.peer_sync.receive(received, address)
 
 
 class VirtualFleet:
--- a/gladedrum/beliefs/tests/test_announced_leaving.py
+++ b/gladedrum/beliefs/tests/test_announced_leaving.py
@@ -18,9 +18,9 @@
 def test_no_list_reverts_the_announcement():
     listed = announced()
     listed.read(entry(OLD), entry(OLD, name="t2"))
-    assert not listed.follower.may_get_work("t1")
+    assert not listed.follower.accepts_requests("t1")
     listed.receive(entry(OLD), entry(OLD, name="t2"))
-    assert not listed.follower.may_get_work("t1")
+    assert not listed.follower.accepts_requests("t1")
     assert [e.name for e in listed.follower.usable("s")] == ["t2"]
 
 
@@ -29,29 +29,29 @@
     listed.read(entry(OLD, name="t2"))
     assert listed.now() is None
     listed.read(entry(OLD), entry(OLD, name="t2"))
-    assert not listed.follower.may_get_work("t1")
+    assert not listed.follower.accepts_requests("t1")
 
 
 def test_a_restored_store_does_not_revert_it():
     listed = announced()
-    listed.follower.note_era()
+    listed.follower.note_store_restored()
     listed.read(entry(OLD, name="t2"))
     for pause_s in (REAPPEAR_GRACE_S, RESTORE_HOLD_S, 10.0):
         listed.clock.advance(pause_s)
         listed.read(entry(OLD), entry(OLD, name="t2"))
-        assert not listed.follower.may_get_work("t1")
+        assert not listed.follower.accepts_requests("t1")
 
 
 def test_it_does_not_apply_to_a_later_start():
     listed = announced()
     listed.read(entry(NEW), entry(OLD, name="t2"))
-    assert listed.follower.may_get_work("t1")
+    assert listed.follower.accepts_requests("t1")
 
 
 def test_it_does_not_apply_to_a_later_start_known_only_from_reports():
     listed = announced()
     listed.follower.note_start("t1", NEW)
-    assert listed.follower.may_get_work("t1")
+    assert listed.follower.accepts_requests("t1")
     listed.read(entry(OLD), entry(OLD, name="t2"))
     assert listed.now() == entry(NEW)
 
@@ -59,22 +59,22 @@
 def test_an_earlier_starts_announcement_does_not_apply_to_the_listed_start():
     listed = Listed(entry(NEW))
     assert not listed.follower.note_leaving("t1", OLD)
-    assert listed.follower.may_get_work("t1")
+    assert listed.follower.accepts_requests("t1")
 
 
 def test_an_announcement_ahead_of_the_list_applies_once_the_start_is_listed():
     listed = announced(OLD, NEW)
     listed.read(entry(NEW), entry(OLD, name="t2"))
-    assert not listed.follower.may_get_work("t1")
+    assert not listed.follower.accepts_requests("t1")
 
 
 def test_a_target_without_a_start_time_may_be_listed_again_after_it_was_gone():
     listed = announced(0, 0)
     listed.read(entry(0), entry(0, name="t2"))
-    assert not listed.follower.may_get_work("t1")
+    assert not listed.follower.accepts_requests("t1")
     listed.read(entry(0, name="t2"))
     listed.read(entry(0), entry(0, name="t2"))
-    assert listed.follower.may_get_work("t1")
+    assert listed.follower.accepts_requests("t1")
 
 
 def test_it_is_taken_from_a_peers_list_of_any_age():
@@ -82,8 +82,8 @@
     old_s = listed.clock.seconds() - 5.0
     peers = (entry(OLD, leaving=True), entry(OLD, name="t2"))
     listed.follower.apply_peer_list({e.name: e for e in peers}, old_s)
-    assert not listed.follower.may_get_work("t1")
-    assert listed.follower.may_get_work("t2")
+    assert not listed.follower.accepts_requests("t1")
+    assert listed.follower.accepts_requests("t2")
     assert listed.follower.age_s < 5.0
 
 
--- a/gladedrum/beliefs/tests/test_beliefs.py
+++ b/gladedrum/beliefs/tests/test_beliefs.py
@@ -6,9 +6,9 @@
 from twisted.internet import defer
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.configuration import WATCH_S, ConfigurationKeeper
+from gladedrum.beliefs.configuration import WATCH_S, ConfigurationFollower
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.errors import KVUnavailableError
 from gladedrum.fleet import TargetEntry
 from gladedrum.platform.feeds import ConfigurationNews
@@ -44,7 +44,7 @@
 
 def configuration_follower():
     clock, feed = Clock(), ScriptedFeed()
-    configuration = ConfigurationKeeper(clock, feed, CHANGE_BOUND_S, pace(clock))
+    configuration = ConfigurationFollower(clock, feed, CHANGE_BOUND_S, pace(clock))
     start(configuration.run())
     return clock, feed, configuration
 
@@ -101,7 +101,7 @@
 
 def peer_reliant_follower():
     clock, feed = Clock(), ScriptedFeed()
-    configuration = ConfigurationKeeper(clock, feed, CHANGE_BOUND_S, pace(clock, follows=True))
+    configuration = ConfigurationFollower(clock, feed, CHANGE_BOUND_S, pace(clock, follows=True))
     running = start(configuration.run())
     feed.pending.callback(ConfigurationNews(RouteTable(5), 10))
     return clock, feed, configuration, running
@@ -166,7 +166,7 @@
 
 def target_follower():
     clock, feed, gone = Clock(), ScriptedFeed(), []
-    targets = TargetKeeper(clock, feed, 2.0, lambda e: gone.append(e.name), pace(clock))
+    targets = TargetListFollower(clock, feed, 2.0, lambda e: gone.append(e.name), pace(clock))
     start(targets.run())
     return clock, feed, targets, gone
 
@@ -193,7 +193,7 @@
         answer(clock, feed, [entry("a"), entry("b"), entry("c")])
     answer(clock, feed, [entry("a"), entry("b", leaving=True)])
     assert [e.name for e in targets.usable("s")] == ["a"]
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
     assert gone == ["c"]
 
 
@@ -202,7 +202,7 @@
     clock, feed, targets, gone = target_follower()
     answer(clock, feed, [entry("a"), entry("b")])
     answer(clock, feed, [entry("a")])
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
     assert gone == ["b"]
 
 
@@ -213,10 +213,10 @@
         feed.pending.errback(KVUnavailableError("down"))
         clock.advance(1.0)
     answer(clock, feed, [entry("a")])
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
     for _ in range(3):
         answer(clock, feed, [entry("a")])
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
     assert gone == ["b"]
 
 
@@ -224,7 +224,7 @@
     clock, feed, targets, _gone = target_follower()
     answer(clock, feed, [entry("a", leaving=True)])
     answer(clock, feed, [entry("a")])
-    assert not targets.may_get_work("a")
+    assert not targets.accepts_requests("a")
 
 
 def test_a_peers_list_is_applied_but_brings_back_no_gone_target():
@@ -245,15 +245,15 @@
     answer(clock, feed, [entry("a"), entry("b")])
     answer(clock, feed, [entry("a")])
     answer(clock, feed, [entry("a"), entry("b")])
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
     targets.apply_peer_list({e.name: e for e in (entry("a"), entry("b"))}, clock.seconds())
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
 
 
 @pytest.mark.parametrize("confirmed, reads", [(True, 1), (False, 4)])
 def test_a_box_reads_the_list_itself_only_if_no_reader_confirms_it(confirmed, reads):
     clock, feed = Clock(), ScriptedFeed()
-    targets = TargetKeeper(
+    targets = TargetListFollower(
         clock, feed, LEAVE_BOUND_S, lambda _entry: None, pace(clock, follows_list=True)
     )
     start(targets.run())
--- a/gladedrum/beliefs/tests/test_expired_entries.py
+++ b/gladedrum/beliefs/tests/test_expired_entries.py
@@ -6,7 +6,7 @@
 
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetKeeper
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetListFollower
 from gladedrum.beliefs.tests.test_beliefs import ScriptedFeed, answer, entry, pace
 from gladedrum.errors import KVUnavailableError
 from gladedrum.utils import start
@@ -18,51 +18,55 @@
 def after_an_outage():
     """Return a box whose first read after an outage lists one of its two targets."""
     clock, feed = Clock(), ScriptedFeed()
-    targets = TargetKeeper(clock, feed, 2.0, lambda _entry: None, pace(clock, follows_list=True))
+    targets = TargetListFollower(
+        clock, feed, 2.0, lambda _entry: None, pace(clock, follows_list=True)
+    )
     start(targets.run())
     answer(clock, feed, list(BOTH.values()), 2.0)
     for _ in range(8):
         feed.pending.errback(KVUnavailableError("down"))
         clock.advance(1.0)
     answer(clock, feed, list(SHORT.values()), 0.3)
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
     return clock, feed, targets
 
 
 def test_a_peers_shorter_list_does_not_remove_entries_that_may_reappear():
     clock, _feed, targets = after_an_outage()
     targets.apply_peer_list(SHORT, clock.seconds())
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
     assert not targets.is_certain
     clock.advance(REAPPEAR_GRACE_S)
     targets.apply_peer_list(SHORT, clock.seconds())
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
     assert targets.is_certain
 
 
 def test_a_box_that_cannot_read_the_store_yet_keeps_entries_that_a_peers_list_lacks():
     clock, feed = Clock(), ScriptedFeed()
-    targets = TargetKeeper(clock, feed, 2.0, lambda _entry: None, pace(clock, follows_list=True))
+    targets = TargetListFollower(
+        clock, feed, 2.0, lambda _entry: None, pace(clock, follows_list=True)
+    )
     start(targets.run())
     answer(clock, feed, list(BOTH.values()), 2.0)
     feed.pending.errback(KVUnavailableError("down"))
     clock.advance(5.0)
     targets.apply_peer_list(SHORT, clock.seconds())
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
     clock.advance(REAPPEAR_GRACE_S)
     targets.apply_peer_list(SHORT, clock.seconds())
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
 
 
 def test_the_store_is_read_if_peers_list_a_target_that_is_gone_here():
     clock, feed, targets = after_an_outage()
     clock.advance(REAPPEAR_GRACE_S)
     answer(clock, feed, list(SHORT.values()), 0.1)
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
     reads = len(feed.calls)
     for _ in range(5):
         clock.advance(1.0)
         targets.apply_peer_list(BOTH, clock.seconds())
     assert len(feed.calls) > reads
     answer(clock, feed, list(BOTH.values()))
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gladedrum.beliefs import membership
-from gladedrum.beliefs.circle import CIRCLE_SIZE, SMALL_FLEET
+from gladedrum.beliefs.coordinators import GROUP_SIZE, SMALL_FLEET
 from gladedrum.beliefs.membership import BOXES_PREFIX, REGISTERED_BOXES
 from gladedrum.beliefs.store_beliefs import PEER_DISCOVERY_TIMEOUT_S
 from gladedrum.beliefs.tests.fleet import VirtualFleet
@@ -38,10 +38,10 @@
 
 def test_few_boxes_register_and_all_agree_on_the_coordinator_group(fleet):
     assert len(fleet.store.keys(BOXES_PREFIX)) == REGISTERED_BOXES
-    groups = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
+    groups = {frozenset(box.beliefs.coordinators.members()) for box in fleet.boxes.values()}
     assert len(groups) == 1
     (members,) = groups
-    assert len(members) == CIRCLE_SIZE
+    assert len(members) == GROUP_SIZE
     assert {box.beliefs.registry.capacity_of(name) for box in fleet.boxes.values()
             for name in members} == {2.15}  # fmt: skip
 
@@ -54,8 +54,8 @@
     assert not calls["grant"] + calls["write"] + calls["end"]
     # Four members watch the configuration and read the list of targets.
     assert calls["list op"] + calls["list gladedrum"] <= 4
-    assert calls["list servers"] <= CIRCLE_SIZE * 14
-    assert calls["watch"] <= CIRCLE_SIZE * 20
+    assert calls["list servers"] <= GROUP_SIZE * 14
+    assert calls["watch"] <= GROUP_SIZE * 20
 
 
 def test_a_change_reaches_all_boxes_within_a_second_and_only_members_read_it(fleet):
@@ -66,7 +66,7 @@
     fleet.write_configuration(3, padding=100_000)
     calls = calls_within(fleet, 1.0)
     assert versions(fleet) == {3}
-    assert calls["list op"] == BOXES - CIRCLE_SIZE
+    assert calls["list op"] == BOXES - GROUP_SIZE
 
 
 def test_a_starting_box_reads_nothing_from_the_store_that_its_peers_have(fleet):
@@ -102,9 +102,9 @@
         fleet.run(0.1)
         # Only the first registered box may read engines' load without knowing its peers.
         readers = [belief for belief in beliefs if belief.is_informed and belief.knows_peers()]
-        assert sum(belief.circle.is_whole_fleet for belief in readers) <= SMALL_FLEET
+        assert sum(belief.coordinators.is_whole_fleet for belief in readers) <= SMALL_FLEET
     assert len(readers) == len(beliefs)
-    assert not any(belief.circle.is_whole_fleet for belief in beliefs)
+    assert not any(belief.coordinators.is_whole_fleet for belief in beliefs)
 
 
 def test_a_box_that_cannot_discover_peers_serves_alone_after_a_while():
@@ -135,12 +135,12 @@
 
 
 def test_a_fleet_that_loses_its_whole_coordinator_group_forms_a_new_one(fleet):
-    members = set(next(iter(fleet.boxes.values())).beliefs.circle.members())
+    members = set(next(iter(fleet.boxes.values())).beliefs.coordinators.members())
     for box in list(fleet.boxes.values()):
         if box.beliefs.registry.name in members:
             box.stop()
     fleet.run(membership.LEASE_RENEWALS * membership.LARGE_FLEET_RENEW_INTERVAL_S + 12.0)
-    groups = {frozenset(box.beliefs.circle.members()) for box in fleet.boxes.values()}
+    groups = {frozenset(box.beliefs.coordinators.members()) for box in fleet.boxes.values()}
     assert len(groups) == 1
     assert not members & set(next(iter(groups)))
     fleet.write_configuration(2)
@@ -162,4 +162,4 @@
     assert sum((fleet.store.calls - before).values()) <= 4 * BOXES
     assert all(box.beliefs.configuration.age_s < 3.0 for box in fleet.boxes.values())
     beliefs = [box.beliefs for box in fleet.boxes.values()]
-    assert len({tuple(sorted(belief.circle.members())) for belief in beliefs}) == 1
+    assert len({tuple(sorted(belief.coordinators.members())) for belief in beliefs}) == 1
--- a/gladedrum/beliefs/tests/test_leaving.py
+++ b/gladedrum/beliefs/tests/test_leaving.py
@@ -27,7 +27,9 @@
 def membership_count(fleet, box):
     """Return how many other boxes have a box in their coordinator group."""
     others = [other for other in fleet.boxes.values() if other is not box]
-    return sum(box.beliefs.circle.me in other.beliefs.circle.members() for other in others)
+    return sum(
+        box.beliefs.coordinators.me in other.beliefs.coordinators.members() for other in others
+    )
 
 
 def test_a_stopping_box_receives_all_changes_as_long_as_it_serves(fleet):
@@ -35,7 +37,9 @@
     for _ in range(8):
         fleet.run(DRAIN_S / 8)
         assert membership_count(fleet, box) == BOXES - 1
-        received = [o for o in fleet.boxes.values() if box.address in o.beliefs.circle.audience()]
+        received = [
+            o for o in fleet.boxes.values() if box.address in o.beliefs.coordinators.recipients()
+        ]
         assert len(received) == BOXES - 1
 
 
@@ -57,11 +61,11 @@
     box.port.say_farewell()
     other = next(other for other in fleet.boxes.values() if other is not box)
     fleet.run(0.01)
-    other.port.datagramReceived(encode(Gossip(box.beliefs.circle.me)), box.address)
-    assert box.beliefs.circle.me in other.beliefs.circle.members()
+    other.port.datagramReceived(encode(Gossip(box.beliefs.coordinators.me)), box.address)
+    assert box.beliefs.coordinators.me in other.beliefs.coordinators.members()
     box.end()
     fleet.run(0.01)
-    assert box.beliefs.circle.me not in other.beliefs.circle.members()
+    assert box.beliefs.coordinators.me not in other.beliefs.coordinators.members()
 
 
 def test_after_its_farewell_a_box_sends_nothing_else(fleet):
@@ -107,11 +111,11 @@
 def test_a_stopping_box_of_an_earlier_version_has_not_ended(fleet):
     """Earlier versions announce the stop at the signal, with empty lists, and still serve."""
     box, other, *_ = fleet.boxes.values()
-    name = box.beliefs.circle.me
+    name = box.beliefs.coordinators.me
     replaced = []
     other.beliefs.registry.on_replaced = replaced.append
     other.port.datagramReceived(encode(Gossip(name, [], [], True)), box.address)
-    assert name in other.beliefs.circle.members()
+    assert name in other.beliefs.coordinators.members()
     assert not replaced
 
 
--- a/gladedrum/beliefs/tests/test_membership.py
+++ b/gladedrum/beliefs/tests/test_membership.py
@@ -6,7 +6,7 @@
 from twisted.internet import reactor
 
 from gladedrum.beliefs import membership
-from gladedrum.beliefs.circle import SMALL_FLEET
+from gladedrum.beliefs.coordinators import SMALL_FLEET
 from gladedrum.beliefs.membership import (
     PEER_TIMEOUT_S,
     REGISTERED_BOXES,
@@ -49,7 +49,7 @@
         while not greeted:
             await sleep(reactor, 0.01)
         assert greeted == [{"a.1": ("127.0.0.1", 1)}]
-        first.note_heard("b.1", ("127.0.0.1", 2))
+        first.note_datagram("b.1", ("127.0.0.1", 2))
         assert first.peers == {"b.1": ("127.0.0.1", 2)}
 
     async def test_an_expired_entry_is_written_again(self):
@@ -64,7 +64,7 @@
 
     async def test_an_unregistered_box_is_dropped_when_it_falls_silent(self):
         registry = self.box("a.1", 1)
-        registry.note_heard("b.1", ("127.0.0.1", 2))
+        registry.note_datagram("b.1", ("127.0.0.1", 2))
         assert registry.count == 2
         self.patch(membership, "PEER_CHECK_INTERVAL_S", 0.0)
         place = ("127.0.0.1", 2)
@@ -172,14 +172,14 @@
         first = self.box("a.1", 1)
         await self.until(lambda: first.entries)
         assert first.capacity_of("b.1") == 0.0
-        first.note_heard("c.1", ("127.0.0.1", 3), 2.0)
+        first.note_datagram("c.1", ("127.0.0.1", 3), 2.0)
         assert first.capacity_of("c.1") == 2.0
 
     async def test_a_later_start_at_an_address_replaces_the_earlier_one(self):
         registry = self.box("a.1", 1)
         replaced = []
         registry.on_replaced = replaced.append
-        registry.note_heard("b.1", ("127.0.0.1", 2))
-        registry.note_heard("b.1", ("127.0.0.1", 2))
-        registry.note_heard("b.2", ("127.0.0.1", 2))
+        registry.note_datagram("b.1", ("127.0.0.1", 2))
+        registry.note_datagram("b.1", ("127.0.0.1", 2))
+        registry.note_datagram("b.2", ("127.0.0.1", 2))
         assert replaced == ["b.1"]
--- a/gladedrum/beliefs/tests/test_peer_list_order.py
+++ b/gladedrum/beliefs/tests/test_peer_list_order.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetKeeper
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetListFollower
 from gladedrum.beliefs.tests.test_beliefs import ScriptedFeed, answer, entry, pace
 from gladedrum.errors import KVUnavailableError
 from gladedrum.utils import start
@@ -13,7 +13,7 @@
 def follower(*listed):
     """Return a box that relies on its peers' list and has read it once."""
     clock, feed, gone = Clock(), ScriptedFeed(), []
-    targets = TargetKeeper(
+    targets = TargetListFollower(
         clock, feed, 2.0, lambda entry: gone.append(entry.name), pace(clock, follows_list=True)
     )
     start(targets.run())
@@ -30,10 +30,10 @@
     clock.advance(0.6)
     # b has restarted and c is new, in a list confirmed at 1.0.
     targets.apply_peer_list({"a": A, "b": B, "c": C}, 1.0)
-    assert targets.may_get_work("c")
+    assert targets.accepts_requests("c")
     # A list of another reader, confirmed at 0.8.
     targets.apply_peer_list({"a": A, "b": B}, 0.8)
-    assert targets.may_get_work("c")
+    assert targets.accepts_requests("c")
     assert gone == ["b"]
 
 
@@ -49,10 +49,10 @@
             feed.pending.errback(KVUnavailableError("down"))
     # The store is back; a peer that started in the outage lacks some entries.
     targets.apply_peer_list({"a": A}, clock.seconds())
-    assert targets.may_get_work("b")
+    assert targets.accepts_requests("b")
     clock.advance(REAPPEAR_GRACE_S)
     targets.apply_peer_list({"a": A}, clock.seconds())
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
 
 
 def test_a_gone_target_is_removed_while_only_this_box_cannot_read_the_store():
@@ -65,4 +65,4 @@
             feed.pending.errback(KVUnavailableError("cut off"))
         read_s = clock.seconds() - 1.4
         targets.apply_peer_list({"a": A} if read_s >= gone_s else {"a": A, "b": B}, read_s)
-    assert not targets.may_get_work("b")
+    assert not targets.accepts_requests("b")
--- a/gladedrum/beliefs/tests/test_peer_sync.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -4,14 +4,14 @@
 
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.circle import SMALL_FLEET
-from gladedrum.beliefs.configuration import ConfigurationKeeper
+from gladedrum.beliefs.configuration import ConfigurationFollower
 from gladedrum.beliefs.configuration_parts import ReceivedConfiguration, configuration_parts
+from gladedrum.beliefs.coordinators import SMALL_FLEET
 from gladedrum.beliefs.membership import BoxEntry, BoxRegistry
+from gladedrum.beliefs.peer_sync import PeerSync
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.beliefs.tests.fleet import NoLosses
-from gladedrum.beliefs.vouching import PeerVouching
 from gladedrum.fleet import TargetEntry
 from gladedrum.forward.tests.support import NoFeed
 from gladedrum.gossip.port import encode
@@ -54,7 +54,7 @@
     me = "a"
     readers = members
 
-    def leaves_list_to_others(self):
+    def follows_readers(self):
         return not self.inside
 
     def address(self, _name):
@@ -63,17 +63,17 @@
 
 def box(clock, inside, version, read_s=0.0, targets=("t1",)):
     pace = StorePace(clock, random.Random(1), lambda: not inside, lambda: not inside)
-    configuration = ConfigurationKeeper(clock, NoFeed(), 2.0, pace)
+    configuration = ConfigurationFollower(clock, NoFeed(), 2.0, pace)
     configuration._apply(RouteTable(version))
-    configuration._vouch(read_s)
-    listed = TargetKeeper(clock, NoFeed(), 2.0, lambda _entry: None, pace)
+    configuration._confirm(read_s)
+    listed = TargetListFollower(clock, NoFeed(), 2.0, lambda _entry: None, pace)
     listed.entries = {n: TargetEntry(n, "s", "10.0.0.1", 1, "h", 1, False) for n in targets}
     listed._read_s = read_s
     wire = Wire()
     table = TableInForce(clock)
     follower = TableFollower(clock, None, table, lambda: not inside)
     registry = BoxRegistry(clock, None, "m" if inside else "a", ("10.0.0.9", 9), random.Random(1))
-    vouching = PeerVouching(
+    peer_sync = PeerSync(
         clock,
         Membership(inside),
         registry,
@@ -85,17 +85,17 @@
         pace,
         NoLosses(),
     )
-    return vouching, wire
+    return peer_sync, wire
 
 
 def exchange(clock, asker, asker_wire, member, member_wire, delay_s=0.0, stall_s=0.0):
     asker._ask()
     clock.advance(delay_s)
-    member.take(Gossip("a", vouch_asks=asker_wire.asks), ("10.0.0.2", 2))
+    member.receive(Gossip("a", vouch_asks=asker_wire.asks), ("10.0.0.2", 2))
     clock.advance(delay_s + stall_s)
-    asker.take(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
+    asker.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
     for part in reversed(member_wire.parts):
-        asker.take(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
+        asker.receive(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
 
 
 def test_the_peers_age_and_the_delay_are_added():
@@ -147,9 +147,9 @@
     member, member_wire = box(clock, True, 3, read_s=9.5, targets=[f"t{i}" for i in range(30)])
     asker, wire = box(clock, False, 3, read_s=5.0, targets=("old",))
     asker._ask()
-    member.take(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
+    member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
     for part in member_wire.parts[1:]:
-        asker.take(Gossip("m", list_parts=[part, part]), ("10.0.0.1", 1))
+        asker.receive(Gossip("m", list_parts=[part, part]), ("10.0.0.1", 1))
     assert sorted(asker._targets.entries) == ["old"]
     assert asker._targets.age_s == 5.0
 
@@ -185,11 +185,11 @@
     member._targets._read_s = clock.seconds() + 1.0
     wire.asks.clear()
     asker._ask()
-    member.take(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
+    member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
     other = {n: TargetEntry(n, "s", "10.0.0.1", 1, "h", 1, False) for n in ("t2", "t3")}
     asker._targets.entries = other
     for part in member_wire.parts:
-        asker.take(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
+        asker.receive(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
     assert asker._targets.entries == other
 
 
@@ -211,14 +211,14 @@
     clock.advance(10.0)
     asker, _wire = box(clock, False, 3, read_s=5.0)
     note = VouchNote(77, 3, 0.0, asker._targets.digest, 0.0)
-    asker.take(Gossip("m", vouches=[note]), ("10.0.0.1", 1))
+    asker.receive(Gossip("m", vouches=[note]), ("10.0.0.1", 1))
     assert asker._configuration.age_s == 5.0
 
 
 def test_a_box_outside_the_coordinator_group_confirms_nothing():
     clock = Clock()
     outside, wire = box(clock, False, 3)
-    outside.take(Gossip("a", vouch_asks=[VouchAsk(1)]), ("10.0.0.1", 1))
+    outside.receive(Gossip("a", vouch_asks=[VouchAsk(1)]), ("10.0.0.1", 1))
     assert not wire.notes
 
 
@@ -243,7 +243,7 @@
     assert not wire.asks
     clock.pump([0.5] * 5)
     assert wire.asks
-    member._configuration._vouch(clock.seconds())
+    member._configuration._confirm(clock.seconds())
     exchange(clock, cut, wire, member, member_wire)
     assert cut._configuration.is_current
 
@@ -280,7 +280,7 @@
     wire.asks.clear()
     clock.pump([0.05] * 20)
     assert len(wire.asks) >= 5
-    member._configuration._vouch(clock.seconds())
+    member._configuration._confirm(clock.seconds())
     wire.asks.clear()
     exchange(clock, asker, wire, member, member_wire)
     wire.asks.clear()
@@ -304,11 +304,11 @@
     asker._configuration._feed = JsonFeed()
     member._configuration.raw = raw
     asker._ask()
-    member.take(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
+    member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
     for part in member_wire.handed:
         if part.part not in lost:
-            asker.take(Gossip("m", configuration_parts=[part]), ("10.0.0.1", 1))
-    asker.take(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
+            asker.receive(Gossip("m", configuration_parts=[part]), ("10.0.0.1", 1))
+    asker.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
     return asker, member_wire
 
 
@@ -357,16 +357,16 @@
     fresh._targets._read_s = fresh._configuration._confirmed_s = float("-inf")
     fresh._seeds = [("10.0.0.3", 3)]
     start(fresh.run())
-    seed.take(Gossip("a", vouch_asks=wire.asks[:1]), ("10.0.0.2", 2))
+    seed.receive(Gossip("a", vouch_asks=wire.asks[:1]), ("10.0.0.2", 2))
     asked = len(wire.asks)
-    fresh.take(Gossip("s", vouches=seed_wire.notes), ("10.0.0.3", 3))
+    fresh.receive(Gossip("s", vouches=seed_wire.notes), ("10.0.0.3", 3))
     assert set(fresh._registry.entries) == {"m.1"}
     assert len(wire.asks) == asked + 1
-    member.take(Gossip("a", vouch_asks=wire.asks[-1:]), ("10.0.0.2", 2))
+    member.receive(Gossip("a", vouch_asks=wire.asks[-1:]), ("10.0.0.2", 2))
     for received in member_wire.handed:
-        fresh.take(Gossip("m", configuration_parts=[received]), ("10.0.0.1", 1))
-    fresh.take(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
-    fresh.take(Gossip("m", list_parts=member_wire.parts), ("10.0.0.1", 1))
+        fresh.receive(Gossip("m", configuration_parts=[received]), ("10.0.0.1", 1))
+    fresh.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
+    fresh.receive(Gossip("m", list_parts=member_wire.parts), ("10.0.0.1", 1))
     assert fresh._configuration.table.version == 4
     assert set(fresh._targets.entries) == {"t1"}
     assert fresh._targets.age_s == fresh._configuration.age_s == 0.5
@@ -380,5 +380,5 @@
     asker._ask()
     note = VouchNote(wire.asks[0].ask_id, boxes=[], boxes_revision=8)
     for _ in range(3):
-        asker.take(Gossip("s", vouches=[note]), ("10.0.0.3", 3))
+        asker.receive(Gossip("s", vouches=[note]), ("10.0.0.3", 3))
     assert len(wire.asks) == 1
--- a/gladedrum/beliefs/tests/test_restarted_targets.py
+++ b/gladedrum/beliefs/tests/test_restarted_targets.py
@@ -9,7 +9,7 @@
 
 from gladedrum.beliefs.list_parts import changed_list, list_parts, whole_list
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.fleet import TargetEntry
 
 OLD, NEW = 1_000_000, 1_004_000
@@ -27,7 +27,7 @@
         self.clock.advance(100.0)
         self.listed = []
         pace = StorePace(self.clock, random.Random(1))
-        self.follower = TargetKeeper(
+        self.follower = TargetListFollower(
             self.clock, None, 2.0, lambda _entry: None, pace, self.listed.append
         )
         self.read(*entries)
@@ -47,7 +47,7 @@
 def test_a_later_start_of_a_leaving_target_accepts_requests():
     listed = Listed(entry(OLD, leaving=True))
     listed.read(entry(NEW))
-    assert listed.follower.may_get_work("t1")
+    assert listed.follower.accepts_requests("t1")
 
 
 def test_a_late_list_with_an_earlier_start_changes_nothing():
@@ -59,7 +59,7 @@
 def test_the_same_start_stays_leaving():
     listed = Listed(entry(OLD, leaving=True))
     listed.read(entry(OLD))
-    assert not listed.follower.may_get_work("t1")
+    assert not listed.follower.accepts_requests("t1")
 
 
 def test_a_peers_list_brings_back_a_later_start_of_a_gone_target_but_not_the_same_one():
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -10,10 +10,10 @@
 
 from twisted.internet import reactor
 
-from gladedrum.beliefs.configuration import ConfigurationKeeper
+from gladedrum.beliefs.configuration import ConfigurationFollower
 from gladedrum.beliefs.membership import BOXES_PREFIX, BoxRegistry
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetKeeper
+from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetListFollower
 from gladedrum.platform.feeds import ConfigurationFeed, TargetFeed
 from gladedrum.platform.tests.store_case import StoreCase
 from gladedrum.routes import Organisation, RouteTable
@@ -28,7 +28,7 @@
 
     def run_part(self, part, store):
         """Run a part of a box and notify it of restores, as a box does."""
-        store.on_era.append(lambda _before, _era: part.note_era())
+        store.on_era.append(lambda _before, _era: part.note_store_restored())
         self.running.append(start(part.run()))
         return part
 
@@ -43,7 +43,7 @@
             self.store(),
         )
         return self.run_part(
-            ConfigurationKeeper(reactor, ConfigurationFeed(store), 2.0, pace), store
+            ConfigurationFollower(reactor, ConfigurationFeed(store), 2.0, pace), store
         )
 
     def targets(self):
@@ -51,7 +51,7 @@
             StorePace(reactor, random.Random(1), lambda: False, lambda: False),
             self.store(),
         )
-        follower = TargetKeeper(reactor, TargetFeed(store), 2.0, lambda _entry: None, pace)
+        follower = TargetListFollower(reactor, TargetFeed(store), 2.0, lambda _entry: None, pace)
         return self.run_part(follower, store)
 
     def write_version(self, version, *keys):
@@ -151,10 +151,10 @@
         self.service.go_back(None)
         for _ in range(round((REAPPEAR_GRACE_S - 1.0) / 0.05)):
             await sleep(reactor, 0.05)
-            assert targets.may_get_work("t2")
+            assert targets.accepts_requests("t2")
         self.write_target("t2")
         await sleep(reactor, 3.0)
-        assert targets.may_get_work("t2")
+        assert targets.accepts_requests("t2")
 
     async def test_leaving_targets_stay_leaving_and_gone_ones_stay_gone(self):
         self.write_target("t1")
@@ -165,10 +165,10 @@
         self.write_target("t1", "draining")
         self.service.remove("servers/t2")
         assert await self.until(
-            lambda: not targets.may_get_work("t1") and "t2" not in targets.entries
+            lambda: not targets.accepts_requests("t1") and "t2" not in targets.entries
         )
         self.service.go_back(None)
         for _ in range(60):
             await sleep(reactor, 0.05)
-            assert not targets.may_get_work("t1")
-            assert not targets.may_get_work("t2")
+            assert not targets.accepts_requests("t1")
+            assert not targets.accepts_requests("t2")
--- a/gladedrum/daemon/tests/test_clock.py
+++ b/gladedrum/daemon/tests/test_clock.py
@@ -9,8 +9,8 @@
 import pytest
 from twisted.internet.selectreactor import SelectReactor
 
-from gladedrum.beliefs.configuration import ConfigurationKeeper
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.configuration import ConfigurationFollower
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.daemon import main as daemon
 from gladedrum.forward.admission import Admission
 from gladedrum.forward.tests.support import NoFeed
@@ -78,8 +78,8 @@
 
 def test_ages_ignore_steps_of_the_wall_clock(reactor, clocks):
     for step_s in STEPS_S:
-        configuration = ConfigurationKeeper(reactor, NoFeed(), 2.0, None)
-        configuration._vouch(reactor.seconds())
+        configuration = ConfigurationFollower(reactor, NoFeed(), 2.0, None)
+        configuration._confirm(reactor.seconds())
         clocks.step(step_s)
         clocks.advance(1.0)
         assert configuration.age_s == pytest.approx(1.0)
@@ -87,11 +87,11 @@
 
 def test_suspended_time_counts(reactor, clocks):
     """A key may be revoked, a target may leave and a deadline may pass during a suspension."""
-    configuration = ConfigurationKeeper(reactor, NoFeed(), 2.0, None)
+    configuration = ConfigurationFollower(reactor, NoFeed(), 2.0, None)
     configuration._apply(RouteTable(1))
-    configuration._vouch(reactor.seconds())
-    targets = TargetKeeper(reactor, NoFeed(), 2.0, lambda _entry: None, None)
-    targets._note_vouched(reactor.seconds())
+    configuration._confirm(reactor.seconds())
+    targets = TargetListFollower(reactor, NoFeed(), 2.0, lambda _entry: None, None)
+    targets._note_confirmed(reactor.seconds())
     admission = Admission(configuration, KEY_BOUND_S, keys_expire=True)
     late = []
     reactor.callLater(8.0, late.append, True)
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from ..beliefs.configuration import ConfigurationKeeper
+from ..beliefs.configuration import ConfigurationFollower
 from ..connections.messages import CallerRequest
 from ..outcome import Failed, NotRun
 from ..platform.heads import CallerMarks, caller_marks
@@ -50,7 +50,7 @@
 
     Parameters
     ----------
-    configuration : ConfigurationKeeper
+    configuration : ConfigurationFollower
         Provides the configuration and its age.
     key_bound_s : float
         Time after which a revoked key must not work any more, in seconds.
@@ -59,7 +59,7 @@
         keys keep working while the store is unreachable, revoked ones included.
     """
 
-    def __init__(self, configuration: ConfigurationKeeper, key_bound_s: float, keys_expire: bool):
+    def __init__(self, configuration: ConfigurationFollower, key_bound_s: float, keys_expire: bool):
         self._configuration = configuration
         self.set_key_bound(key_bound_s, keys_expire)
 
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -11,8 +11,8 @@
 from twisted.web.resource import IResource
 
 from .. import __version__, gossip
+from ..beliefs.peer_sync import PeerSync
 from ..beliefs.store_beliefs import StoreBeliefs
-from ..beliefs.vouching import PeerVouching
 from ..config import BOX_NAME, DATA_HALL, Settings
 from ..config.operator_token import OPERATOR_TOKEN
 from ..connections.caller_conn import CallerConnection, CallerFactory
@@ -118,9 +118,9 @@
         self._placer = self._make_placer(chooser)
         self._repeat_shares = self._make_repeat_shares()
         self._repeats = RepeatPool(
-            reactor, self._beliefs.circle, self._gossip, self._repeat_shares, self._rng
+            reactor, self._beliefs.coordinators, self._gossip, self._repeat_shares, self._rng
         )
-        self._vouching = self._make_vouching()
+        self._peer_sync = self._make_peer_sync()
         self._ctx = self._make_context(cfg.get(DATA_HALL), chooser)
         self._callers = CallerFactory(
             reactor, self._beliefs.limits, self._handle, settings.keep_callers
@@ -133,18 +133,18 @@
         return self._ports.cannot_start
 
     def _note_era(self, _before: int, era: int) -> None:
-        self._record.note_era()
+        self._record.note_store_restored()
         self.metrics.store_era.set(era)
         self.metrics.store_returns.inc()
 
     # Construction of the parts.
 
     def _make_gossip(self) -> gossip.GossipPort:
-        circle, registry = self._beliefs.circle, self._beliefs.registry
+        coordinators, registry = self._beliefs.coordinators, self._beliefs.registry
         port = gossip.GossipPort(
             self.name,
             self._reactor,
-            circle.audience,
+            coordinators.recipients,
             lambda: [entry.address for entry in registry.entries.values()],
             self._handle_gossip,
             self._settings.capacity,
@@ -154,14 +154,14 @@
         return port
 
     def _is_reader(self) -> bool:
-        return not self._beliefs.circle.leaves_list_to_others()
+        return not self._beliefs.coordinators.follows_readers()
 
     def _make_rates(self) -> TargetRates:
         return TargetRates(
             self._reactor,
             self._targets,
             self._view,
-            self._beliefs.circle,
+            self._beliefs.coordinators,
             self._gossip,
             lambda: self._beliefs.registry.count,
             lambda result: self.metrics.places.labels(result).inc(),
@@ -174,14 +174,14 @@
             self._view,
             self._beliefs.engines,
             self.name,
-            lambda: self._beliefs.circle.members() if self._beliefs.knows_peers() else [],
+            lambda: self._beliefs.coordinators.members() if self._beliefs.knows_peers() else [],
             self._gossip.tell_report,
         )
 
     def _make_placer(self, chooser: Chooser) -> Placer:
         return Placer(
             self._reactor,
-            self._beliefs.circle,
+            self._beliefs.coordinators,
             chooser,
             self._targets,
             self._view,
@@ -195,13 +195,13 @@
             settings.retry_ratio,
             settings.retry_slack,
             settings.retry_window_s,
-            lambda: sharers_of(beliefs.circle, beliefs.registry.count),
+            lambda: sharers_of(beliefs.coordinators, beliefs.registry.count),
         )
 
-    def _make_vouching(self) -> PeerVouching:
-        return PeerVouching(
+    def _make_peer_sync(self) -> PeerSync:
+        return PeerSync(
             self._reactor,
-            self._beliefs.circle,
+            self._beliefs.coordinators,
             self._beliefs.registry,
             self._gossip,
             self._configuration,
@@ -293,7 +293,7 @@
         return [reason for reason, holds in reasons.items() if holds]
 
     async def _drain(self) -> None:
-        if not self._beliefs.circle.is_whole_fleet:
+        if not self._beliefs.coordinators.is_whole_fleet:
             # A box joins the coordinator group and learns all work while this one still serves.
             self._leave()
         await drain_callers(
@@ -314,7 +314,7 @@
             self._ports.pages_child(),
             self._ports.gossip_child(),
             *self._beliefs.children(),
-            Child("vouching", self._vouching.run),
+            Child("vouching", self._peer_sync.run),
             Child("condemned", self._record.run),
             Child("reports", self._reports.run),
             self._ports.callers_child(),
@@ -370,10 +370,10 @@
         if gossip.is_farewell(message):
             self._beliefs.registry.note_ended(message.box, address)
             return
-        self._beliefs.registry.note_heard(message.box, address, message.capacity)
+        self._beliefs.registry.note_datagram(message.box, address, message.capacity)
         self._view.receive(message, self._targets.entries.keys(), self._reactor.seconds())
         self._placer.receive(message, address)
-        self._vouching.take(message, address)
+        self._peer_sync.receive(message, address)
         self._repeats.receive(message, address)
         self._suspicion.receive(message)
         self._rates.receive(message, address)
--- a/gladedrum/forward/context.py
+++ b/gladedrum/forward/context.py
@@ -7,7 +7,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from .. import gossip
-from ..beliefs.target_list import TargetKeeper
+from ..beliefs.target_list import TargetListFollower
 from ..connections.target_pool import TargetPool
 from ..placing.choosing import Chooser
 from ..placing.fleet_view import FleetView
@@ -58,7 +58,7 @@
     data_hall: str
     clock: IReactorTime
     admission: Admission
-    targets: TargetKeeper
+    targets: TargetListFollower
     chooser: Chooser
     placer: Placer
     view: FleetView
--- a/gladedrum/forward/pages.py
+++ b/gladedrum/forward/pages.py
@@ -11,7 +11,7 @@
 from twisted.web.http import Request
 from twisted.web.resource import IResource, Resource
 
-from ..beliefs.configuration import ConfigurationKeeper
+from ..beliefs.configuration import ConfigurationFollower
 from ..placing.statements import TargetStatements
 from ..placing.suspicion import Suspicion
 from ..platform import wire
@@ -48,7 +48,7 @@
     def __init__(
         self,
         metrics: ForwardMetrics,
-        configuration: ConfigurationKeeper,
+        configuration: ConfigurationFollower,
         suspicion: Suspicion,
         statements: TargetStatements,
     ):
@@ -92,7 +92,7 @@
     not_ready: Callable[[], list[str]],
     make_table_site: Callable[[], "TableSite"],
     metrics: ForwardMetrics,
-    configuration: ConfigurationKeeper,
+    configuration: ConfigurationFollower,
     suspicion: Suspicion,
     statements: TargetStatements,
     operator_token: str,
@@ -107,7 +107,7 @@
         Creates the pages of the table.
     metrics : ForwardMetrics
         The metrics to export.
-    configuration : ConfigurationKeeper
+    configuration : ConfigurationFollower
         Provides the version and age of the configuration.
     suspicion : Suspicion
         Provides the condemned requests.
--- a/gladedrum/forward/tests/crashing.py
+++ b/gladedrum/forward/tests/crashing.py
@@ -122,7 +122,7 @@
         for _ in range(round(seconds / step_s)):
             self._serve_connections()
             for box in self.boxes.values():
-                box.configuration._vouch(self.net.seconds())
+                box.configuration._confirm(self.net.seconds())
             self.net.advance(step_s)
 
     def crash_times_of(self, body: bytes) -> list[float]:
@@ -159,7 +159,7 @@
         """Return the running members of the circle, which read reports."""
         if name not in self.boxes:
             return []
-        return [member for member in box.circle.members() if member in self.boxes]
+        return [member for member in box.coordinators.members() if member in self.boxes]
 
     # Engines.
 
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -11,10 +11,10 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from gladedrum.beliefs.circle import Circle
-from gladedrum.beliefs.configuration import ConfigurationKeeper
+from gladedrum.beliefs.configuration import ConfigurationFollower
+from gladedrum.beliefs.coordinators import CoordinatorGroup
 from gladedrum.beliefs.store_pace import StorePace
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.connections.caller_conn import CallerFactory
 from gladedrum.connections.messages import CallerRequest
 from gladedrum.connections.target_pool import TargetPool
@@ -172,28 +172,28 @@
         self.net = net or Network()
         peers = peers or {}
         pace = StorePace(self.net, random.Random(1))
-        self.configuration = ConfigurationKeeper(self.net, NoFeed(), 2.0, pace)
-        self.targets = TargetKeeper(self.net, NoFeed(), 2.0, lambda _entry: None, pace)
+        self.configuration = ConfigurationFollower(self.net, NoFeed(), 2.0, pace)
+        self.targets = TargetListFollower(self.net, NoFeed(), 2.0, lambda _entry: None, pace)
         self.list_targets(targets)
         self.confirm_configuration(self.table(engine, **route))
         self.view = FleetView()
         self.view.on_restart = self._on_target_restart
         self.tasks = []
-        self.circle = circle = Circle(me, lambda: peers)
-        audience = circle.audience if peers else lambda: ()
-        self.port = GossipPort(me, self.net, audience, peers.values, self._receive_gossip)
+        self.coordinators = coordinators = CoordinatorGroup(me, lambda: peers)
+        recipients = coordinators.recipients if peers else lambda: ()
+        self.port = GossipPort(me, self.net, recipients, peers.values, self._receive_gossip)
         chooser = Chooser(me, self.net, self.targets, self.view)
         placer = Placer(
-            self.net, circle, chooser, self.targets, self.view, self.port, self._service
+            self.net, coordinators, chooser, self.targets, self.view, self.port, self._service
         )
         target_pool = TargetPool(self.net)
         rates = TargetRates(
-            self.net, self.targets, self.view, circle, self.port, lambda: 1 + len(peers)
+            self.net, self.targets, self.view, coordinators, self.port, lambda: 1 + len(peers)
         )
         self.statements = TargetStatements(self.net, self.targets, self.view, rates, self.port)
         target_pool.gate = self.statements
         self.repeats = RepeatShares(4.0, 1000.0, 1.0, lambda: 1)
-        pool = RepeatPool(self.net, circle, self.port, self.repeats, random.Random(1))
+        pool = RepeatPool(self.net, coordinators, self.port, self.repeats, random.Random(1))
         self.ctx = ForwardContext(
             box=me,
             data_hall="hall",
@@ -229,7 +229,7 @@
 
     def confirm_configuration(self, table: RouteTable | None = None) -> None:
         self.configuration._apply(table)
-        self.configuration._vouch(self.net.seconds())
+        self.configuration._confirm(self.net.seconds())
 
     def list_targets(self, count: int, leaving: tuple[str, ...] = ()) -> None:
         self.targets.entries = {
--- a/gladedrum/forward/tests/test_named_rates_fleet.py
+++ b/gladedrum/forward/tests/test_named_rates_fleet.py
@@ -38,7 +38,7 @@
 def coordinator_of(fleet, port):
     """Return the box that counts and grants the requests to an engine."""
     box = next(iter(fleet.boxes.values()))
-    return responsible_boxes(f"t{port - 9000}", box.circle.members())[0]
+    return responsible_boxes(f"t{port - 9000}", box.coordinators.members())[0]
 
 
 @pytest.mark.parametrize(
--- a/gladedrum/forward/tests/test_reload.py
+++ b/gladedrum/forward/tests/test_reload.py
@@ -10,7 +10,7 @@
 
 def test_a_changed_key_bound_applies_at_once():
     box = ForwardingBox(MemoryReactorClock(), parse_settings(TEXT.format(5000)))
-    box._configuration._vouch(box._reactor.seconds())
+    box._configuration._confirm(box._reactor.seconds())
     box._reactor.advance(3.0)
     assert box._ctx.admission.keys_are_vouched_for
     box.reload(parse_settings(TEXT.format(2000)))
@@ -27,7 +27,7 @@
     for expire in ("yes", "no"):
         text = TEXT.format(5000) + f"keys_expire = {expire}\n"
         box = ForwardingBox(MemoryReactorClock(), parse_settings(text))
-        box._configuration._vouch(box._reactor.seconds())
+        box._configuration._confirm(box._reactor.seconds())
         box._reactor.advance(60.0)
         reasons[expire] = box.not_ready()
     assert "the configuration is old" in reasons["yes"]
--- a/gladedrum/forward/tests/test_resting_answers.py
+++ b/gladedrum/forward/tests/test_resting_answers.py
@@ -75,7 +75,7 @@
 
 def test_deciders_exclude_targets_that_the_asking_box_backs_off_from():
     fleet = StatementFleet(targets=4, boxes=16)
-    members = fleet.boxes["box1"].circle.members()
+    members = fleet.boxes["box1"].coordinators.members()
     outside = next(name for name in fleet.boxes if name not in members)
     for port in fleet.engines:
         fleet.refuse_with_backoff(port, b"6", boxes=(outside,))
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-from ..beliefs.target_list import TargetKeeper
+from ..beliefs.target_list import TargetListFollower
 from ..fleet import TargetEntry
 from ..routes import Service
 from ..scheduling.engine_model import EngineTraits
@@ -192,7 +192,7 @@
         boxes that do not know each other's choices yet would otherwise all pick the same target.
     clock : IReactorTime
         A monotonic clock.
-    targets : TargetKeeper
+    targets : TargetListFollower
         The list of targets.
     view : FleetView
         The load and state of targets.
@@ -202,7 +202,7 @@
         self,
         box: str,
         clock: IReactorTime,
-        targets: TargetKeeper,
+        targets: TargetListFollower,
         view: FleetView,
     ):
         self._box = box
--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -78,7 +78,7 @@
         suspicion.on_condemned = self._note_condemned
         suspicion.on_lifted = self._note_lifted
 
-    def note_era(self) -> None:
+    def note_store_restored(self) -> None:
         """Write the record again: the store was restored from a copy that may lack it."""
         self._recorded.clear()
         for row in self._suspicion.condemned():
--- a/gladedrum/placing/members.py
+++ b/gladedrum/placing/members.py
@@ -7,7 +7,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from .. import gossip
-from ..beliefs.circle import Circle
+from ..beliefs.coordinators import CoordinatorGroup
 from ..gossip.wire.ttypes import AskNote, ChoiceNote
 from ..scheduling.questions import AnswerTimes
 from .work_plan import WorkPlan, note_from_plan
@@ -39,15 +39,17 @@
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : Circle
+    circle : CoordinatorGroup
         Knows the members' addresses.
     port : GossipPort
         Sends datagrams to them.
     """
 
-    def __init__(self, clock: IReactorTime, circle: Circle, port: gossip.GossipPort):
+    def __init__(
+        self, clock: IReactorTime, coordinators: CoordinatorGroup, port: gossip.GossipPort
+    ):
         self._clock = clock
-        self._circle = circle
+        self._coordinators = coordinators
         self._port = port
         self._waiting: dict[str, defer.Deferred[ChoiceNote | None]] = {}
         self._abandoned: dict[str, _Asked] = {}
@@ -60,7 +62,7 @@
 
     async def ask(self, member: str, note: AskNote) -> ChoiceNote | None:
         """Return a member's answer, None if it does not arrive in time or the member has gone."""
-        address = self._circle.address(member)
+        address = self._coordinators.address(member)
         if address is None:
             return None
         waiting: defer.Deferred[ChoiceNote | None] = defer.Deferred()
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -1,6 +1,6 @@
 """Placement of requests, decided on this box or by a decider that it asks.
 
-A few boxes, the members of the coordinator group (the `Circle`), hear of all work in the fleet and
+A few boxes, the members of the coordinator group (the `CoordinatorGroup`), hear of all work in the fleet and
 decide for the others. The group improves placements but is not required: a member that does not
 answer in time is skipped, and in the end the box decides from its own state.
 """
@@ -12,8 +12,8 @@
 from twisted.internet.interfaces import IReactorTime
 
 from .. import gossip
-from ..beliefs.circle import Circle, rank
-from ..beliefs.target_list import TargetKeeper
+from ..beliefs.coordinators import CoordinatorGroup, rank
+from ..beliefs.target_list import TargetListFollower
 from ..fleet import TargetEntry
 from ..gossip.wire.ttypes import AskNote, ChoiceNote, Gossip
 from ..routes import Service
@@ -75,11 +75,11 @@
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : Circle
+    circle : CoordinatorGroup
         The coordinator group.
     chooser : Chooser
         Chooses targets on this box.
-    targets : TargetKeeper
+    targets : TargetListFollower
         The list of targets.
     view : FleetView
         The state of targets as known on this box.
@@ -92,22 +92,22 @@
     def __init__(
         self,
         clock: IReactorTime,
-        circle: Circle,
+        coordinators: CoordinatorGroup,
         chooser: Chooser,
-        targets: TargetKeeper,
+        targets: TargetListFollower,
         view: FleetView,
         port: gossip.GossipPort,
         service_of: Callable[[str], Service],
     ):
         self._clock = clock
-        self._me = circle.me
-        self._circle = circle
+        self._me = coordinators.me
+        self._coordinators = coordinators
         self._chooser = chooser
         self._targets = targets
         self._view = view
         self._port = port
         self._service_of = service_of
-        self._members = MemberClient(clock, circle, port)
+        self._members = MemberClient(clock, coordinators, port)
         self._questions: WaitingQuestions[_Question] = WaitingQuestions(MAX_QUESTION_AGE_S)
         self._member_since_s: float | None = clock.seconds()
 
@@ -167,10 +167,12 @@
         knows all its runs.
         """
         if demand.prompt_tokens >= LONG_PROMPT_TOKENS:
-            members = self._circle.arbiters()
+            members = self._coordinators.ranked_members()
         elif self._chooser.standing(demand) >= Standing.ALONE:
             members = self._members_ranked_for(demand.digest.hex())
-        elif self._circle.includes_me() and (demand.service.engine is None or not self._is_cold()):
+        elif self._coordinators.includes_me() and (
+            demand.service.engine is None or not self._is_cold()
+        ):
             return []
         else:
             members = self._members_ranked_for(work_id)
@@ -178,7 +180,7 @@
 
     def _members_ranked_for(self, text: str) -> list[str]:
         """Return the members in an order that depends on `text` and is the same on all boxes."""
-        return sorted(self._circle.members(), key=lambda name: rank(f"{name}|{text}"))
+        return sorted(self._coordinators.members(), key=lambda name: rank(f"{name}|{text}"))
 
     async def _ask_deciders(
         self, deciders: Sequence[str], work_id: str, demand: Demand, tried: Sequence[str]
@@ -249,7 +251,7 @@
         )
 
     def _note_membership(self) -> None:
-        if not self._circle.includes_me():
+        if not self._coordinators.includes_me():
             self._member_since_s = None
         elif self._member_since_s is None:
             self._member_since_s = self._clock.seconds()
@@ -290,7 +292,7 @@
 
     def _usable_entry(self, name: str) -> TargetEntry | None:
         rests = self._view.rest_s(name, self._clock.seconds())
-        usable = self._targets.may_get_work(name) and not rests
+        usable = self._targets.accepts_requests(name) and not rests
         return self._targets.entries.get(name) if usable else None
 
     def _answer_question(self, ask: AskNote) -> ChoiceNote:
--- a/gladedrum/placing/repeat_pool.py
+++ b/gladedrum/placing/repeat_pool.py
@@ -17,7 +17,7 @@
 from twisted.internet import defer
 from twisted.internet.interfaces import IReactorTime
 
-from ..beliefs.circle import ASK_S, CIRCLE_SIZE, Circle
+from ..beliefs.coordinators import ANSWER_TIMEOUT_S, GROUP_SIZE, CoordinatorGroup
 from ..gossip.port import GossipPort
 from ..gossip.wire.ttypes import Gossip, RepeatAsk, RepeatGrant
 from .repeats import RepeatShares
@@ -36,11 +36,11 @@
 _log = logging.getLogger(__name__)
 
 
-def sharers_of(circle: Circle, boxes: int) -> int:
+def sharers_of(coordinators: CoordinatorGroup, boxes: int) -> int:
     """Return the number of boxes that share the slack; 0 if this box has no share."""
-    if circle.is_whole_fleet:
+    if coordinators.is_whole_fleet:
         return boxes
-    return CIRCLE_SIZE if circle.includes_me() else 0
+    return GROUP_SIZE if coordinators.includes_me() else 0
 
 
 class Grant(Enum):
@@ -57,7 +57,7 @@
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : Circle
+    circle : CoordinatorGroup
         The coordinator group, whose members hold the slack.
     port : GossipPort
         Sends datagrams to other boxes.
@@ -70,13 +70,13 @@
     def __init__(
         self,
         clock: IReactorTime,
-        circle: Circle,
+        coordinators: CoordinatorGroup,
         port: GossipPort,
         shares: RepeatShares,
         rng: random.Random,
     ):
         self._clock = clock
-        self._circle = circle
+        self._coordinators = coordinators
         self._port = port
         self._shares = shares
         self._rng = rng
@@ -129,10 +129,14 @@
         return False
 
     def _addresses_to_ask(self) -> Iterator[tuple[str, int]]:
-        others = [name for name in self._circle.members() if name != self._circle.me]
-        limit = MAX_MEMBERS_ASKED_SMALL_FLEET if self._circle.is_whole_fleet else MAX_MEMBERS_ASKED
+        others = [name for name in self._coordinators.members() if name != self._coordinators.me]
+        limit = (
+            MAX_MEMBERS_ASKED_SMALL_FLEET
+            if self._coordinators.is_whole_fleet
+            else MAX_MEMBERS_ASKED
+        )
         for member in self._rng.sample(others, min(limit, len(others))):
-            address = self._circle.address(member)
+            address = self._coordinators.address(member)
             if address is not None:
                 yield address
 
@@ -140,7 +144,9 @@
         """Return whether a member grants a repeat, None if it does not answer in time."""
         ask_id = next(self._ids)
         waiting: defer.Deferred[bool | None] = defer.Deferred()
-        waiting.addTimeout(ASK_S, self._clock, onTimeoutCancel=lambda _result, _timeout_s: None)
+        waiting.addTimeout(
+            ANSWER_TIMEOUT_S, self._clock, onTimeoutCancel=lambda _result, _timeout_s: None
+        )
         self._waiting[ask_id] = waiting
         self._port.ask_repeat(address, RepeatAsk(ask_id, service))
         try:
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -17,7 +17,7 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-from ..beliefs.target_list import TargetKeeper
+from ..beliefs.target_list import TargetListFollower
 from ..connections.target_pool import NotNowError
 from ..gossip.port import GossipPort
 from ..gossip.wire.ttypes import Gossip, LeavingNote
@@ -70,7 +70,7 @@
     ----------
     clock : IReactorTime
         A monotonic clock.
-    targets : TargetKeeper
+    targets : TargetListFollower
         The list of targets.
     view : FleetView
         The state of targets; keeps their rests.
@@ -83,7 +83,7 @@
     def __init__(
         self,
         clock: IReactorTime,
-        targets: TargetKeeper,
+        targets: TargetListFollower,
         view: FleetView,
         rates: TargetRates,
         port: GossipPort,
@@ -110,7 +110,7 @@
         NotNowError
             If the call must not be sent now.
         """
-        if kind in _NEW_WORK and not self._targets.may_get_work(target):
+        if kind in _NEW_WORK and not self._targets.accepts_requests(target):
             raise NotNowError("the target is leaving")
         if kind is not CallKind.RENEW and self.rest_s(target):
             raise NotNowError("the target wants rest")
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -3,7 +3,7 @@
 A *loss* is a request that was lost together with a target. The rules that turn losses into verdicts
 are in `scheduling.suspects`. This module collects losses from the box's own attempts and from
 peers. It sends each loss to all peers at once and twice more, in case a datagram is lost, and sends
-all losses to a box whose checksum differs (`beliefs.vouching`), such as one that has just
+all losses to a box whose checksum differs (`beliefs.peer_sync`), such as one that has just
 started.
 """
 
@@ -13,7 +13,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from .. import gossip
-from ..beliefs.target_list import TargetKeeper
+from ..beliefs.target_list import TargetListFollower
 from ..gossip.wire.ttypes import Gossip, LossNote
 from ..scheduling.suspects import (
     ALIVE_AFTER_S,
@@ -52,7 +52,7 @@
         A monotonic clock.
     view : FleetView
         Holds the losses and detects targets that end.
-    targets : TargetKeeper
+    targets : TargetListFollower
         The list of targets.
     port : GossipPort
         Sends datagrams to other boxes.
@@ -70,7 +70,7 @@
         self,
         clock: IReactorTime,
         view: FleetView,
-        targets: TargetKeeper,
+        targets: TargetListFollower,
         port: gossip.GossipPort,
     ):
         self._clock = clock
@@ -104,7 +104,7 @@
 
         Targets that are leaving are skipped, since they end as planned.
         """
-        starts = [self._start(name) for name in names if self._targets.may_get_work(name)]
+        starts = [self._start(name) for name in names if self._targets.accepts_requests(name)]
         now_s = self._clock.seconds()
         self._tell_repeatedly(self._book.note_lost(digest, starts, now_s, route, organisation))
 
@@ -162,7 +162,7 @@
         self.is_informed = True
         self._book.merge(losses, self._clock.seconds())
 
-    def tell_all(self, address: tuple[str, int]) -> None:
+    def send_all(self, address: tuple[str, int]) -> None:
         """Send all known losses to a box."""
         now_s = self._clock.seconds()
         notes = [note_from_loss(loss, now_s) for loss in self._book.shared()]
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -20,8 +20,8 @@
 from twisted.internet import defer
 from twisted.internet.interfaces import IReactorTime
 
-from ..beliefs.circle import ASK_S, Circle
-from ..beliefs.target_list import TargetKeeper
+from ..beliefs.coordinators import ANSWER_TIMEOUT_S, CoordinatorGroup
+from ..beliefs.target_list import TargetListFollower
 from ..gossip.port import GossipPort
 from ..gossip.wire.ttypes import Gossip, PlaceAsk, PlaceGrant, RateNote, SpentNote
 from ..scheduling.rates import MAX_INTERVAL_S, SUBSTITUTE_SHARE, NamedRate, RateLimiter
@@ -67,11 +67,11 @@
     ----------
     clock : IReactorTime
         A monotonic clock.
-    targets : TargetKeeper
+    targets : TargetListFollower
         The list of targets.
     view : FleetView
         Records the rates.
-    circle : Circle
+    circle : CoordinatorGroup
         The coordinator group, whose members count requests.
     port : GossipPort
         Sends datagrams to other boxes.
@@ -84,9 +84,9 @@
     def __init__(
         self,
         clock: IReactorTime,
-        targets: TargetKeeper,
+        targets: TargetListFollower,
         view: FleetView,
-        circle: Circle,
+        coordinators: CoordinatorGroup,
         port: GossipPort,
         boxes: Callable[[], int],
         on_place: Callable[[str], None] = lambda _result: None,
@@ -94,7 +94,7 @@
         self._clock = clock
         self._targets = targets
         self._view = view
-        self._circle = circle
+        self._coordinators = coordinators
         self._port = port
         self._boxes = boxes
         self._on_place = on_place
@@ -124,8 +124,8 @@
         if state.rate is None:
             return
         first = self._order(target)[0]
-        address = self._circle.address(first)
-        if first == self._circle.me or address is None:
+        address = self._coordinators.address(first)
+        if first == self._coordinators.me or address is None:
             self._book.charge(target, state.born, state.rate.per_s, self._clock.seconds())
         else:
             self._port.tell_spent(address, SpentNote(target, state.born, state.rate.per_s))
@@ -179,7 +179,7 @@
     def give_back(self, target: str) -> None:
         """Return a place that was not used; a place granted by a peer can't be returned."""
         state = self._view.state(target)
-        if state.rate is not None and self._order(target)[0] == self._circle.me:
+        if state.rate is not None and self._order(target)[0] == self._coordinators.me:
             now_s = self._clock.seconds()
             self._book.refund(target, state.born, state.rate.per_s, now_s)
 
@@ -188,7 +188,7 @@
         born = self._view.state(target).born
         max_closed_s = MAX_INTERVAL_S
         for member in self._order(target)[:MAX_MEMBERS_ASKED]:
-            if member == self._circle.me:
+            if member == self._coordinators.me:
                 wait_s, next_s = self._take_locally(target, born, rate.per_s)
                 return member, min(max_closed_s, wait_s), min(max_closed_s, next_s)
             answer = await self._ask(member, target, born, rate.per_s)
@@ -198,12 +198,12 @@
             max_closed_s = MAX_SUBSTITUTE_CLOSED_S
         per_s = SUBSTITUTE_SHARE * rate.per_s / max(1, self._boxes())
         wait_s = self._own_share.acquire(target, born, per_s, self._clock.seconds())
-        return self._circle.me, min(max_closed_s, wait_s), 0.0
+        return self._coordinators.me, min(max_closed_s, wait_s), 0.0
 
     def _take_locally(self, target: str, born: int, per_s: float) -> tuple[float, float]:
         """Take a place from this box's counts; return the wait and the time until the next one."""
         now_s, rate = self._clock.seconds(), self._view.state(target).rate
-        if self._order(target)[0] != self._circle.me:
+        if self._order(target)[0] != self._coordinators.me:
             per_s *= SUBSTITUTE_SHARE
         elif rate is not None:
             self._book.begin(target, born, rate.since_s)
@@ -212,12 +212,14 @@
 
     async def _ask(self, member: str, target: str, born: int, per_s: float) -> PlaceGrant | None:
         """Return a member's answer, None if it does not arrive in time."""
-        address, now_s = self._circle.address(member), self._clock.seconds()
+        address, now_s = self._coordinators.address(member), self._clock.seconds()
         if address is None or self._avoided_until_s.get(member, 0.0) > now_s:
             return None
         ask_id = next(self._ids)
         waiting: defer.Deferred[PlaceGrant | None] = defer.Deferred()
-        waiting.addTimeout(ASK_S, self._clock, onTimeoutCancel=lambda _result, _timeout_s: None)
+        waiting.addTimeout(
+            ANSWER_TIMEOUT_S, self._clock, onTimeoutCancel=lambda _result, _timeout_s: None
+        )
         self._waiting[ask_id] = waiting
         self._port.ask_place(address, PlaceAsk(ask_id, target, born, per_s))
         try:
@@ -275,7 +277,7 @@
         return rate.per_s if rate is not None else max(0.0, told_per_s or 0.0)
 
     def _order(self, target: str) -> list[str]:
-        return responsible_boxes(target, self._circle.members())
+        return responsible_boxes(target, self._coordinators.members())
 
     def _drop_unlisted(self) -> None:
         """Drop the counts of targets that are no longer listed."""
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -28,13 +28,13 @@
     def __init__(self, *args):
         self.view = FleetView()
         super().__init__(*args)
-        registry, circle = self.beliefs.registry, self.beliefs.circle
+        registry, coordinators = self.beliefs.registry, self.beliefs.coordinators
         self.record = CondemnedRecord(
             self.fleet.clock,
             self.store,
             registry,
             self.losses,
-            lambda: not circle.leaves_list_to_others(),
+            lambda: not coordinators.follows_readers(),
         )
         self.running.append(start(self.record.run()))
         self.running[-1].addErrback(lambda _failure: None)
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -3,7 +3,13 @@
 import itertools
 
 from gladedrum import gossip
-from gladedrum.beliefs.circle import ASK_S, CIRCLE_SIZE, READERS, SMALL_FLEET, Circle
+from gladedrum.beliefs.coordinators import (
+    ANSWER_TIMEOUT_S,
+    GROUP_SIZE,
+    READER_COUNT,
+    SMALL_FLEET,
+    CoordinatorGroup,
+)
 from gladedrum.forward.tests.support import World
 from gladedrum.placing.placer import MAX_MEMBERS_ASKED, WARM_UP_S
 from gladedrum.placing.work_plan import WorkPlan, work_id_of
@@ -16,20 +22,22 @@
 
 def test_all_boxes_of_a_small_fleet_decide_and_a_few_boxes_of_a_large_one():
     small = dict(list(BOXES.items())[: SMALL_FLEET - 1])
-    assert Circle("me", lambda: small).includes_me()
-    members = {name: Circle(name, lambda n=name: _others(n)).members() for name in BOXES}
+    assert CoordinatorGroup("me", lambda: small).includes_me()
+    members = {name: CoordinatorGroup(name, lambda n=name: _others(n)).members() for name in BOXES}
     assert len({tuple(names) for names in members.values()}) == 1
-    assert len(members["b0"]) == CIRCLE_SIZE
+    assert len(members["b0"]) == GROUP_SIZE
 
 
 def test_the_boxes_with_the_most_cores_decide_for_a_large_fleet():
     """Guards against a hot spot: small boxes as deciders can't keep up with bursts."""
     large = {"b3", "b7", "b11", "b19", "b23"}
     capacity = {name: 2.15 if name in large else 0.516 for name in BOXES}
-    circles = [Circle(name, lambda n=name: _others(n), capacity.get) for name in BOXES]
-    assert {frozenset(circle.members()) for circle in circles} == {frozenset(circles[0].members())}
+    circles = [CoordinatorGroup(name, lambda n=name: _others(n), capacity.get) for name in BOXES]
+    assert {frozenset(coordinators.members()) for coordinators in circles} == {
+        frozenset(circles[0].members())
+    }
     assert set(circles[0].members()) < large
-    assert {circle.arbiters()[0] for circle in circles} < large
+    assert {coordinators.ranked_members()[0] for coordinators in circles} < large
 
 
 def _others(name):
@@ -67,9 +75,9 @@
     outside.addresses = inside.addresses = {"me": 1, "inside": 2}
     wire = Datagrams({1: outside, 2: inside})
     outside.port.transport = inside.port.transport = wire
-    circle = outside.ctx.placer._circle
-    circle.members = lambda: ["m1", "m2", "m3"]
-    circle.address = lambda _name: ("10.0.1.1", 2)
+    coordinators = outside.ctx.placer._coordinators
+    coordinators.members = lambda: ["m1", "m2", "m3"]
+    coordinators.address = lambda _name: ("10.0.1.1", 2)
     inside.ctx.placer._is_cold = lambda: False
     return outside, inside, wire
 
@@ -87,11 +95,11 @@
     outside, _inside, wire = outside_and_inside_box()
     wire.lost = True
     outside.caller().ask(b"body")
-    outside.run(ASK_S * MAX_MEMBERS_ASKED + 0.01, step_s=0.01)
+    outside.run(ANSWER_TIMEOUT_S * MAX_MEMBERS_ASKED + 0.01, step_s=0.01)
     assert len(outside.net.opened) == 1
     before = wire.sent
     outside.caller().ask(b"body")
-    outside.run(ASK_S + 0.01, step_s=0.01)
+    outside.run(ANSWER_TIMEOUT_S + 0.01, step_s=0.01)
     assert len(outside.net.opened) == 2
     assert wire.sent - before <= 2
 
@@ -108,8 +116,8 @@
 def test_long_prompts_are_placed_by_one_box_and_short_ones_by_each_of_a_small_fleet():
     """Guards against two long prompts placed on the same idle engines at the same moment."""
     outside, inside, wire = outside_and_inside_box()
-    outside.ctx.placer._circle.includes_me = lambda: True
-    outside.ctx.placer._circle.arbiters = lambda: ["m1"]
+    outside.ctx.placer._coordinators.includes_me = lambda: True
+    outside.ctx.placer._coordinators.ranked_members = lambda: ["m1"]
     outside.ctx.placer._is_cold = lambda: False
     size = b"%s: %d,200\r\n"
     outside.caller().ask(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 5_000))
@@ -124,16 +132,19 @@
 def test_all_boxes_of_a_small_fleet_agree_on_the_two_that_read_the_list():
     names = {f"b{i}": ("10.0.0.1", i) for i in range(9)}
     circles = [
-        Circle(me, lambda me=me: {n: a for n, a in names.items() if n != me}) for me in names
+        CoordinatorGroup(me, lambda me=me: {n: a for n, a in names.items() if n != me})
+        for me in names
     ]
-    assert len({tuple(circle.readers()) for circle in circles}) == 1
-    assert sum(not circle.leaves_list_to_others() for circle in circles) == READERS
-    assert not Circle("alone", dict).leaves_list_to_others()
+    assert len({tuple(coordinators.readers()) for coordinators in circles}) == 1
+    assert sum(not coordinators.follows_readers() for coordinators in circles) == READER_COUNT
+    assert not CoordinatorGroup("alone", dict).follows_readers()
 
 
 def test_boxes_with_the_same_knowledge_agree_on_the_arbiter():
-    arbiters = {Circle(name, lambda n=name: _others(n)).arbiters()[0] for name in BOXES}
-    assert len(arbiters) == 1
+    ranked_members = {
+        CoordinatorGroup(name, lambda n=name: _others(n)).ranked_members()[0] for name in BOXES
+    }
+    assert len(ranked_members) == 1
 
 
 def test_a_cold_member_leaves_decisions_to_members_that_know_the_work():
@@ -152,8 +163,8 @@
     outside, inside, wire = outside_and_inside_box()
     inside.ctx.placer._is_cold = lambda: True
     addresses = {"m1": ("10.0.1.1", 2), "m2": ("10.0.1.1", 2), "m3": ("10.0.1.1", 2)}
-    outside.ctx.placer._circle = circle = Circle("me", lambda: addresses)
-    circle.members = lambda: ["m1", "m2", "m3"]
+    outside.ctx.placer._coordinators = coordinators = CoordinatorGroup("me", lambda: addresses)
+    coordinators.members = lambda: ["m1", "m2", "m3"]
     write = wire.write
 
     def write_and_restart(data, address):
@@ -171,8 +182,8 @@
 def test_a_cold_member_places_requests_for_plain_services_itself():
     """Plain services need no ledger of long work, and a silent peer would cost more time."""
     world = World()
-    world.ctx.placer._circle.members = lambda: ["other", "me"]
-    world.ctx.placer._circle.address = lambda _name: ("10.0.1.1", 2)
+    world.ctx.placer._coordinators.members = lambda: ["other", "me"]
+    world.ctx.placer._coordinators.address = lambda _name: ("10.0.1.1", 2)
     assert world.ctx.placer._is_cold()
     world.caller().ask()
     assert len(world.net.opened) == 1
@@ -183,7 +194,7 @@
     assert world.ctx.placer._is_cold()
     world.run(WARM_UP_S + 0.1)
     assert not world.ctx.placer._is_cold()
-    world.ctx.placer._circle.members = lambda: ["other"]
+    world.ctx.placer._coordinators.members = lambda: ["other"]
     assert world.ctx.placer._is_cold()
 
 
@@ -224,7 +235,7 @@
 
     wire.write = hold
     outside.caller().ask(b"body")
-    outside.run(ASK_S * MAX_MEMBERS_ASKED + 0.1, step_s=0.01)
+    outside.run(ANSWER_TIMEOUT_S * MAX_MEMBERS_ASKED + 0.1, step_s=0.01)
     wire.write = deliver
 
 
@@ -254,7 +265,7 @@
     for data, address in held:
         wire.write(data, address)
     assert not members._avoided_until_s
-    assert all(members._times.wait_s(member) > ASK_S for member in asked)
+    assert all(members._times.wait_s(member) > ANSWER_TIMEOUT_S for member in asked)
 
 
 def test_a_choice_that_can_not_be_used_is_withdrawn():
--- a/gladedrum/placing/tests/test_refusing_engine.py
+++ b/gladedrum/placing/tests/test_refusing_engine.py
@@ -26,8 +26,8 @@
         super().__init__()
 
     async def answer(self, clock, box, entry, call, timeout_s):
-        if entry.name in self.dead or (box.beliefs.circle.me, entry.name) in self.refused:
-            self.asked.append((clock.seconds(), box.beliefs.circle.me, entry.name))
+        if entry.name in self.dead or (box.beliefs.coordinators.me, entry.name) in self.refused:
+            self.asked.append((clock.seconds(), box.beliefs.coordinators.me, entry.name))
             raise TargetNotListeningError("connection refused")
         return await super().answer(clock, box, entry, call, timeout_s)
 
@@ -49,7 +49,7 @@
     monkeypatch.setattr(reports, "call_target", fleet.answer)
     fleet.run(7.0)
     reader = fleet.reader_of("t0")
-    fleet.refused.add((reader.beliefs.circle.me, "t0"))
+    fleet.refused.add((reader.beliefs.coordinators.me, "t0"))
     others = [box for box in fleet.boxes.values() if box is not reader]
     for _ in range(200):
         fleet.run(0.02)
--- a/gladedrum/placing/tests/test_repeats.py
+++ b/gladedrum/placing/tests/test_repeats.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.circle import Circle
+from gladedrum.beliefs.coordinators import CoordinatorGroup
 from gladedrum.gossip.wire.ttypes import Gossip
-from gladedrum.placing.repeat_pool import ASK_S, RepeatPool, sharers_of
+from gladedrum.placing.repeat_pool import ANSWER_TIMEOUT_S, RepeatPool, sharers_of
 from gladedrum.placing.repeats import RepeatShares
 from gladedrum.utils import start
 
@@ -75,11 +75,14 @@
 
     for name in addresses:
         others = {n: a for n, a in addresses.items() if n != name}
-        circle = Circle(name, lambda others=others: others)
+        coordinators = CoordinatorGroup(name, lambda others=others: others)
         shares = RepeatShares(
-            RATIO, SLACK, WINDOW_S, lambda circle=circle: sharers_of(circle, boxes)
+            RATIO,
+            SLACK,
+            WINDOW_S,
+            lambda coordinators=coordinators: sharers_of(coordinators, boxes),
         )
-        pools.append(RepeatPool(clock, circle, Wire(name), shares, random.Random(name)))
+        pools.append(RepeatPool(clock, coordinators, Wire(name), shares, random.Random(name)))
     return clock, pools
 
 
@@ -106,26 +109,26 @@
     for pool in pools:
         start(pool.take("s"))
     clock.advance(10.0)
-    outside = next(pool for pool in pools if pool._circle.excludes_me())
+    outside = next(pool for pool in pools if pool._coordinators.excludes_me())
     assert sent_by(clock, [outside] * 100, 1) >= SLACK / 8
 
 
 @pytest.mark.parametrize("boxes", [SMALL_FLEET, LARGE_FLEET])
 def test_silent_members_cost_a_bounded_wait(boxes):
     clock, pools = pooled_fleet(lost=True, boxes=boxes)
-    asking = next((pool for pool in pools if pool._circle.excludes_me()), pools[0])
+    asking = next((pool for pool in pools if pool._coordinators.excludes_me()), pools[0])
     granted = []
     start(asking.take("s")).addCallback(append_result_to(granted))
-    clock.advance(ASK_S)
+    clock.advance(ANSWER_TIMEOUT_S)
     assert not granted
-    clock.advance(ASK_S)
+    clock.advance(ANSWER_TIMEOUT_S)
     assert granted == [False]
 
 
 def test_a_second_member_is_asked_if_the_first_grants_no_repeat():
     clock, pools = pooled_fleet()
-    outside = next(pool for pool in pools if pool._circle.excludes_me())
-    members = [pool for pool in pools if pool._circle.includes_me()]
+    outside = next(pool for pool in pools if pool._coordinators.excludes_me())
+    members = [pool for pool in pools if pool._coordinators.includes_me()]
     for pool in members:
         pool._shares.take = lambda _service, _now_s, pool=pool: pool is members[0]
     granted = []
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -32,8 +32,8 @@
             self,
             self.view,
             lambda: list(self.beliefs.targets.entries.values()),
-            self.beliefs.circle.me,
-            lambda: self.beliefs.circle.members() if self.beliefs.knows_peers() else [],
+            self.beliefs.coordinators.me,
+            lambda: self.beliefs.coordinators.members() if self.beliefs.knows_peers() else [],
             self.port.tell_report,
         )
         self.running.append(start(reader.run()))
@@ -64,7 +64,7 @@
 
     async def answer(self, clock, box, entry, _call, timeout_s):
         """Replace `call_target`; the box is passed as its pool."""
-        name = box.beliefs.circle.me
+        name = box.beliefs.coordinators.me
         self.asked.append((clock.seconds(), name, entry.name))
         if entry.name in self.dead or (name, entry.name) in self.cut:
             await sleep(clock, timeout_s)
@@ -75,7 +75,7 @@
     def reader_of(self, engine):
         """Return the box that last asked an engine."""
         name = [box for _at_s, box, target in self.asked if target == engine][-1]
-        return next(box for box in self.boxes.values() if box.beliefs.circle.me == name)
+        return next(box for box in self.boxes.values() if box.beliefs.coordinators.me == name)
 
     def suspected_within(self, seconds):
         """Return all engines that any box suspects at some time in the next `seconds`."""
@@ -171,7 +171,7 @@
 def test_an_engine_unreachable_for_its_reader_alone_is_suspected_by_no_other_box(fleet):
     fleet.run(1.0)
     reader = fleet.reader_of("t0")
-    fleet.cut.add((reader.beliefs.circle.me, "t0"))
+    fleet.cut.add((reader.beliefs.coordinators.me, "t0"))
     others = [box for box in fleet.boxes.values() if box is not reader]
     suspecting = 0
     for _ in range(300):
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -99,9 +99,9 @@
     early = Gossip("peer", leaving_targets=[LeavingNote("t1", OLD - 1), LeavingNote("t9", OLD)])
     world.targets.note_start("t1", OLD)
     world.statements.receive(early)
-    assert world.targets.may_get_work("t1")
+    assert world.targets.accepts_requests("t1")
     world.statements.receive(Gossip("peer", leaving_targets=[LeavingNote("t1", OLD)]))
-    assert not world.targets.may_get_work("t1")
+    assert not world.targets.accepts_requests("t1")
 
 
 def test_operators_see_leaving_targets_with_their_source_and_resting_targets(world):
@@ -128,10 +128,10 @@
     answer_with(world, LEAVES)
     world.statements.receive(Gossip("peer", leaving_targets=[LeavingNote("t3", OLD)]))
     world.targets._replace({**entries, "t3": entries["t1"]._replace(name="t3")})
-    assert [name for name in entries if world.targets.may_get_work(name)] == ["t2"]
-    assert not world.targets.may_get_work("t3")
+    assert [name for name in entries if world.targets.accepts_requests(name)] == ["t2"]
+    assert not world.targets.accepts_requests("t3")
     world.targets._replace({**entries, "t1": entries["t1"]._replace(born=NEW)})
-    assert world.targets.may_get_work("t1")
+    assert world.targets.accepts_requests("t1")
 
 
 def test_a_rest_survives_a_lapse_of_the_targets_entry(world):
--- a/gladedrum/table/follow.py
+++ b/gladedrum/table/follow.py
@@ -67,7 +67,7 @@
         self._first_read_done = False
         self._pending_watch: defer.Deferred | None = None
 
-    def note_era(self) -> None:
+    def note_store_restored(self) -> None:
         """Read the table again at once, since the store was restored from a copy."""
         self._peer_revision = max(self._peer_revision, Revision(self._kv.era, 0))
         pending, self._pending_watch = self._pending_watch, None
@@ -127,7 +127,7 @@
         try:
             await pending
         except defer.CancelledError:
-            # `note_era` clears the attribute before it cancels; other cancellations end the task.
+            # `note_store_restored` clears the attribute before it cancels; other cancellations end the task.
             if self._pending_watch is pending:
                 raise
         finally:
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -7,8 +7,8 @@
 import sys
 from collections.abc import Callable
 
-from gladedrum.beliefs.configuration import ConfigurationKeeper
-from gladedrum.beliefs.target_list import TargetKeeper
+from gladedrum.beliefs.configuration import ConfigurationFollower
+from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.connections import target_conn
 from gladedrum.daemon.main import main
 from gladedrum.forward import life
@@ -47,8 +47,8 @@
 
 def _send_to_leaving() -> None:
     """Send requests to targets that leave, and to such as are gone."""
-    TargetKeeper.may_get_work = lambda _keeper, _name: True
-    TargetKeeper.usable = lambda keeper, service: [
+    TargetListFollower.accepts_requests = lambda _keeper, _name: True
+    TargetListFollower.usable = lambda keeper, service: [
         entry for entry in keeper.entries.values() if entry.service == service
     ]
 
@@ -98,8 +98,8 @@
 
 def _never_read_again() -> None:
     """Keep the first configuration."""
-    apply = ConfigurationKeeper._apply
-    ConfigurationKeeper._apply = lambda keeper, table: (
+    apply = ConfigurationFollower._apply
+    ConfigurationFollower._apply = lambda keeper, table: (
         apply(keeper, table) if keeper.table is None else None
     )
 
@@ -108,13 +108,13 @@
     """Put whatever version comes in force, an earlier one at times."""
     seen: list = []
 
-    def apply(keeper: ConfigurationKeeper, table) -> None:
+    def apply(keeper: ConfigurationFollower, table) -> None:
         if table is None:
             return
         seen.append(table)
         keeper.table = seen[-2] if len(seen) % 3 == 0 else table
 
-    ConfigurationKeeper._apply = apply
+    ConfigurationFollower._apply = apply
 
 
 def _blame_targets_alone() -> None:
@@ -129,7 +129,7 @@
 
 def _overlook_leaving() -> None:
     """Heed no target's word that it leaves, but for the store's list."""
-    TargetKeeper.note_leaving = lambda _keeper, *_start: False
+    TargetListFollower.note_leaving = lambda _keeper, *_start: False
 
 
 def _overlook_rest() -> None:
