--- a/gladedrum/daemon/tests/test_clock.py
+++ b/gladedrum/daemon/tests/test_clock.py
@@ -98,6 +98,6 @@
     clocks.advance(10.0, suspended=True)
     clocks.step(-10.0)
     reactor.runUntilCurrent()
-    assert not admission.keys_are_vouched_for
+    assert not admission.keys_are_trusted
     assert targets.age_s == pytest.approx(10.0)
     assert late
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -68,7 +68,7 @@
         self._key_bound_s = key_bound_s - KEY_MARGIN_S if keys_expire else float("inf")
 
     @property
-    def keys_are_vouched_for(self) -> bool:
+    def keys_are_trusted(self) -> bool:
         """Whether the configuration is recent enough to trust its keys."""
         return self._configuration.age_s < self._key_bound_s
 
@@ -86,7 +86,7 @@
             if route.anonymous:
                 return Admitted(route, None, marks)
             return Failed("an API key is needed", HTTPStatus.UNAUTHORIZED)
-        if not self.keys_are_vouched_for:
+        if not self.keys_are_trusted:
             age_s = self._configuration.age_s
             reason = f"the configuration is {age_s:.1f} s old, too old to trust a key"
             return NotRun(reason, NO_CONFIGURATION_RETRY_S)
--- a/gladedrum/forward/try_ends.py
+++ b/gladedrum/forward/attempt_ends.py
@@ -14,13 +14,13 @@
 __all__ = [
     "NOT_RUN_STATUSES",
     "AllLeave",
+    "AttemptEnd",
     "Done",
     "FailedAnswer",
     "Lost",
     "OverBudget",
     "Overtaken",
     "Refused",
-    "TryEnd",
     "Withheld",
     "outcome_of_status",
     "work_change_of",
@@ -114,7 +114,7 @@
     failed: bool
 
 
-TryEnd = (
+AttemptEnd = (
     Done
     | Refused
     | CannotServeInTime
@@ -129,7 +129,7 @@
 )
 
 
-def work_change_of(end: TryEnd) -> int:
+def work_change_of(end: AttemptEnd) -> int:
     """Return the `gossip` change that tells other boxes how an attempt ended."""
     match end:
         case Done(outcome=Completed()):
--- a/gladedrum/forward/tries.py
+++ b/gladedrum/forward/attempts.py
@@ -32,15 +32,15 @@
 from ..platform.heads import SentMarks, forward_headers
 from ..platform.orders import CallKind
 from .admission import Admitted
+from .attempt_ends import AllLeave, AttemptEnd, OverBudget, Refused
 from .caller_answer import CallerAnswer
 from .context import ForwardContext
 from .event_times import EventTimes
 from .relaying import EventRelay, Relay, WholeRelay
 from .request_log import log_attempt
 from .reservations import ReservationSet
-from .try_ends import AllLeave, OverBudget, Refused, TryEnd
 
-__all__ = ["Attempt", "ForwardedRequest", "PlacementBounds", "TryMaker"]
+__all__ = ["Attempt", "AttemptDispatcher", "ForwardedRequest", "PlacementBounds"]
 
 MIN_HELD_SHARE = 0.5
 """An engine that reports less memory in use than this share of a prompt does not hold the prompt.
@@ -233,7 +233,7 @@
         self.ctx.port.tell_work(note_from_plan(self.plan, change))
 
 
-class TryMaker:
+class AttemptDispatcher:
     """Places and sends the attempts of a request.
 
     Parameters
@@ -261,7 +261,7 @@
 
     async def prepare(
         self, demand: Demand, bounds: PlacementBounds = NO_BOUNDS
-    ) -> Attempt | TryEnd:
+    ) -> Attempt | AttemptEnd:
         """Return an attempt that is ready to be sent, or why there is none.
 
         Releases what it has acquired if the attempt cannot be completed.
@@ -285,7 +285,7 @@
             self._return_retry(demand, retry_grant)
         return found
 
-    async def _place(self, demand: Demand, bounds: PlacementBounds) -> Attempt | TryEnd:
+    async def _place(self, demand: Demand, bounds: PlacementBounds) -> Attempt | AttemptEnd:
         """Return a placed attempt; place again if the chosen target takes no requests now."""
         for _ in range(MAX_PLACEMENTS):
             found = await self._place_once(demand, bounds)
@@ -293,7 +293,7 @@
                 return found
         return found
 
-    async def _place_once(self, demand: Demand, bounds: PlacementBounds) -> Attempt | TryEnd:
+    async def _place_once(self, demand: Demand, bounds: PlacementBounds) -> Attempt | AttemptEnd:
         work_id = work_id_of(self._ctx.box, next(_work_ids))
         placed = await self._ctx.placer.place(work_id, demand, self.tried)
         if placed is None or isinstance(placed, NoPlacement):
@@ -418,12 +418,12 @@
         wait_s = await self._ctx.rates.take_place(attempt.target)
         if wait_s:
             return AllTargetsClosed(wait_s)
-        refused = await self._get_memory(attempt)
+        refused = await self._reserve_memory(attempt)
         if refused is not None:
             self._ctx.rates.give_back(attempt.target)
         return refused
 
-    async def _get_memory(self, attempt: Attempt) -> Refused | None:
+    async def _reserve_memory(self, attempt: Attempt) -> Refused | None:
         refused = await self._reserve(attempt) if attempt.choice.reserved else []
         if refused:
             return Refused(f"no memory at {', '.join(refused)}", at_target=False)
@@ -457,7 +457,7 @@
         now_s = self._ctx.clock.seconds()
         if now_s >= fwd.deadline_s:
             raise NotNowError("its time is up")
-        if admitted.organisation is not None and not self._ctx.admission.keys_are_vouched_for:
+        if admitted.organisation is not None and not self._ctx.admission.keys_are_trusted:
             raise NotNowError("the configuration is too old to trust its key")
         marks = SentMarks(
             target=attempt.target,
@@ -496,7 +496,7 @@
     return Refused("no target has room", at_target=False)
 
 
-def _end_without_place(placed: NoPlacement | None) -> TryEnd:
+def _end_without_place(placed: NoPlacement | None) -> AttemptEnd:
     match placed:
         case SuspectOnHold(reason=reason):
             return Refused(reason, at_target=False)
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -38,10 +38,10 @@
 from .admission import Admission
 from .context import ForwardContext
 from .drain import drain_callers
-from .life import RequestTask, start_request
-from .measures import ForwardMetrics
+from .metrics import ForwardMetrics
 from .pages import box_pages
 from .ports import BoxPorts
+from .request_task import RequestTask, start_request
 from .settings import forward_settings
 
 if TYPE_CHECKING:
@@ -364,7 +364,7 @@
         if entry is not None:
             self._pool.forget_place((entry.host, entry.port))
         for task in tuple(self._in_flight):
-            task.target_reborn(name)
+            task.on_target_restarted(name)
 
     def _handle_gossip(self, message: Gossip, address: tuple[str, int]) -> None:
         if gossip.is_farewell(message):
--- a/gladedrum/forward/context.py
+++ b/gladedrum/forward/context.py
@@ -17,7 +17,7 @@
 from ..placing.target_rates import TargetRates
 from ..routes import Service
 from .admission import Admission
-from .measures import ForwardMetrics
+from .metrics import ForwardMetrics
 
 __all__ = ["ForwardContext"]
 
--- a/gladedrum/forward/hedging.py
+++ b/gladedrum/forward/hedging.py
@@ -14,11 +14,11 @@
 from .. import gossip
 from ..connections.messages import CallerGone, Mailbox, Message, SearchEnded, TimeIsUp
 from ..utils import start
+from .attempt_ends import AttemptEnd, Done, Overtaken, Refused
+from .attempts import Attempt
 from .relaying import CallerGoneError
-from .tries import Attempt
-from .try_ends import Done, Overtaken, Refused, TryEnd
 
-__all__ = ["HedgedRequest", "HedgedTries"]
+__all__ = ["HedgedAttempts", "HedgedRequest"]
 
 SEARCH_AGAIN_S = 0.25
 """Pause after an unsuccessful search for a hedge, in seconds: some scheduling passes of an engine,
@@ -28,12 +28,12 @@
 
 
 class HedgedRequest(Interface):
-    """What `HedgedTries` needs from the task of its request."""
+    """What `HedgedAttempts` needs from the task of its request."""
 
     def may_hedge(self, in_progress: int) -> bool:
         """Whether the request may run on one more target beside its attempts in progress."""
 
-    async def search_hedge(self, silent: Attempt) -> Attempt | TryEnd:
+    async def search_hedge(self, silent: Attempt) -> Attempt | AttemptEnd:
         """Prepare a hedge of a silent attempt; return it, or why there is none."""
 
     def send_hedge(self, prepared: Attempt) -> None:
@@ -45,7 +45,7 @@
     def is_silence_explained(self, silent: Attempt) -> bool:
         """Whether known work of the target explains the silence of an attempt."""
 
-    def attempt_ended(self, ended: Attempt, end: TryEnd) -> None:
+    def attempt_ended(self, ended: Attempt, end: AttemptEnd) -> None:
         """Handle the end of an attempt."""
 
     def time_up(self) -> Done:
@@ -53,7 +53,7 @@
 
 
 @dataclass
-class HedgedTries:
+class HedgedAttempts:
     """The attempts of a request in progress, until one succeeds or all have ended.
 
     Parameters
@@ -72,18 +72,18 @@
 
     clock: IReactorTime
     mailbox: Mailbox
-    until_s: float
+    deadline_s: float
     first: Attempt
     request: HedgedRequest
-    _tries: list[Attempt] = field(default_factory=list, init=False)
+    _attempts: list[Attempt] = field(default_factory=list, init=False)
     _searching: bool = field(default=False, init=False)
     _hedge_wanted: bool = field(default=False, init=False)
-    _found: Attempt | TryEnd | None = field(default=None, init=False)
-    _last_end: TryEnd | None = field(default=None, init=False)
+    _found: Attempt | AttemptEnd | None = field(default=None, init=False)
+    _last_end: AttemptEnd | None = field(default=None, init=False)
     _caller_reads: bool = field(default=True, init=False)
 
     def __post_init__(self) -> None:
-        self._tries.append(self.first)
+        self._attempts.append(self.first)
 
     def set_reading(self, on: bool) -> None:
         """Pause or resume the silence checks, as the caller stops or resumes reading.
@@ -94,29 +94,29 @@
         self._hedge_wanted = self._hedge_wanted and on
         self.mailbox.put(TimeIsUp())
 
-    def target_reborn(self, name: str) -> None:
+    def on_target_restarted(self, name: str) -> None:
         """Search for a hedge at once if an attempt ran on a target that has restarted."""
         now_s = self.clock.seconds()
-        lost = [attempt for attempt in self._tries if attempt.note_restart(name, now_s)]
+        lost = [attempt for attempt in self._attempts if attempt.note_restart(name, now_s)]
         for attempt in lost:
             attempt.relay.next_check_s = min(attempt.relay.next_check_s, now_s)
         if lost:
             self.mailbox.put(TimeIsUp())
 
-    async def run(self) -> TryEnd:
+    async def run(self) -> AttemptEnd:
         """Return how the last attempt ended; raises `CallerGoneError` if the caller has left."""
         end = None
         while end is None:
-            message = await self.mailbox.get(min(self.until_s, self._look_s()))
+            message = await self.mailbox.get(min(self.deadline_s, self._next_check_s()))
             end = self._handle(message)
         return end
 
-    def _handle(self, message: Message) -> TryEnd | None:
+    def _handle(self, message: Message) -> AttemptEnd | None:
         match message:
             case CallerGone():
                 raise CallerGoneError
             case TimeIsUp():
-                return self._look(self.clock.seconds())
+                return self._check_silence(self.clock.seconds())
             case SearchEnded():
                 return self._handle_search_result()
             case _:
@@ -124,8 +124,8 @@
 
     # Messages of the targets' connections.
 
-    def _handle_answer(self, message: Message) -> TryEnd | None:
-        attempt = next((t for t in self._tries if t.exchange.attempt == message.attempt), None)
+    def _handle_answer(self, message: Message) -> AttemptEnd | None:
+        attempt = next((t for t in self._attempts if t.exchange.attempt == message.attempt), None)
         if attempt is None:
             return None
         attempt.relay.made_progress = False
@@ -137,40 +137,40 @@
     def _cancel_others(self, winner: Attempt) -> None:
         """End all attempts except the one that has made progress."""
         self._hedge_wanted = False
-        before = self._tries.index(winner)
-        for index, attempt in enumerate(self._tries):
+        before = self._attempts.index(winner)
+        for index, attempt in enumerate(self._attempts):
             if attempt is not winner:
                 failed = index < before and not attempt.silence_is_explained
                 self.request.attempt_ended(attempt, Overtaken(failed))
-        self._tries = [winner]
+        self._attempts = [winner]
 
-    def _end(self, attempt: Attempt, end: TryEnd) -> TryEnd | None:
+    def _end(self, attempt: Attempt, end: AttemptEnd) -> AttemptEnd | None:
         """Remove an ended attempt; return its end if there is nothing left to wait for."""
-        self._tries.remove(attempt)
+        self._attempts.remove(attempt)
         self.request.attempt_ended(attempt, end)
         if isinstance(end, Done) or attempt.relay.is_unresumable:
             return end
         self._last_end = end
         self._postpone_search()
-        return None if self._tries or self._searching else end
+        return None if self._attempts or self._searching else end
 
     # Silence.
 
-    def _look_s(self) -> float:
+    def _next_check_s(self) -> float:
         """Return when the newest attempt is due for a silence check, by the monotonic clock."""
-        if not self._tries or self._searching or not self._caller_reads:
+        if not self._attempts or self._searching or not self._caller_reads:
             return float("inf")
-        if not self.request.may_hedge(len(self._tries)):
+        if not self.request.may_hedge(len(self._attempts)):
             return float("inf")
-        return self._tries[-1].relay.next_check_s
+        return self._attempts[-1].relay.next_check_s
 
-    def _look(self, now_s: float) -> TryEnd | None:
-        if now_s >= self.until_s:
+    def _check_silence(self, now_s: float) -> AttemptEnd | None:
+        if now_s >= self.deadline_s:
             return self.request.time_up()
-        if now_s < self._look_s():
+        if now_s < self._next_check_s():
             return None
-        silent = self._tries[-1]
-        if not silent.relay.calls_for_hedge(now_s):
+        silent = self._attempts[-1]
+        if not silent.relay.needs_hedge(now_s):
             self.request.check_report(silent)
         else:
             self._searching = self._hedge_wanted = True
@@ -179,26 +179,26 @@
             searching.addErrback(_log_search_failure).addCallback(self._search_ended)
         return None
 
-    def _search_ended(self, found: Attempt | TryEnd) -> None:
+    def _search_ended(self, found: Attempt | AttemptEnd) -> None:
         self._found = found
         self.mailbox.put(SearchEnded())
 
-    def _handle_search_result(self) -> TryEnd | None:
+    def _handle_search_result(self) -> AttemptEnd | None:
         """Send the hedge that was found, unless an attempt has made progress meanwhile."""
         found, self._found, self._searching = self._found, None, False
         if isinstance(found, Attempt):
-            if self._hedge_wanted or not self._tries:
+            if self._hedge_wanted or not self._attempts:
                 self.request.send_hedge(found)
-                self._tries.append(found)
+                self._attempts.append(found)
                 return None
             found.end(gossip.WITHDRAWN)
         self._postpone_search()
-        return None if self._tries else self._last_end
+        return None if self._attempts else self._last_end
 
     def _postpone_search(self) -> None:
         """Delay the next silence check of the newest attempt, and so the next search."""
-        if self._tries:
-            self._tries[-1].relay.postpone_check(SEARCH_AGAIN_S)
+        if self._attempts:
+            self._attempts[-1].relay.postpone_check(SEARCH_AGAIN_S)
 
 
 def _log_search_failure(failure) -> Refused:
--- a/gladedrum/forward/pages.py
+++ b/gladedrum/forward/pages.py
@@ -16,7 +16,7 @@
 from ..placing.suspicion import Suspicion
 from ..platform import wire
 from .condemned_page import CondemnedPage
-from .measures import ForwardMetrics
+from .metrics import ForwardMetrics
 from .statements_page import StatementsPage
 
 if TYPE_CHECKING:
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -26,17 +26,17 @@
     CALLER_WAIT_PAUSE_FACTOR,
     MIN_CALLER_WAIT_S,
 )
-from .caller_answer import CallerAnswer
-from .try_ends import (
+from .attempt_ends import (
     NOT_RUN_STATUSES,
+    AttemptEnd,
     Done,
     FailedAnswer,
     Lost,
     Refused,
-    TryEnd,
     Withheld,
     outcome_of_status,
 )
+from .caller_answer import CallerAnswer
 
 __all__ = ["CallerGoneError", "EventRelay", "Relay", "WholeRelay", "caller_timeout_s"]
 
@@ -87,7 +87,7 @@
     Attributes
     ----------
     next_check_s : float
-        When to call `calls_for_hedge` if no message comes before, by the monotonic clock.
+        When to call `needs_hedge` if no message comes before, by the monotonic clock.
     delivered : bool
         Whether a part of this attempt's answer was sent to the caller.
     made_progress : bool
@@ -103,7 +103,7 @@
     made_progress: bool = field(default=False, init=False)
     _head: AnswerHead | None = field(default=None, init=False)
 
-    def handle(self, message: Message) -> TryEnd | None:
+    def handle(self, message: Message) -> AttemptEnd | None:
         """Handle a message of the attempt; return how the attempt ended, None if it goes on."""
         match message:
             case AnswerBroken(withheld=True, reason=reason):
@@ -138,7 +138,7 @@
 
     # Implemented by subclasses.
 
-    def calls_for_hedge(self, now_s: float) -> bool:
+    def needs_hedge(self, now_s: float) -> bool:
         """Whether the target has been silent for too long, so that a hedge is needed."""
         raise NotImplementedError
 
@@ -146,15 +146,15 @@
         """Restart the silence timeout: the answer was not read while the caller was too slow."""
         raise NotImplementedError
 
-    def _begin(self) -> TryEnd | None:
+    def _begin(self) -> AttemptEnd | None:
         """Handle the head of an answer that is not a refusal."""
         raise NotImplementedError
 
-    def _relay_data(self, data: bytes) -> TryEnd | None:
+    def _relay_data(self, data: bytes) -> AttemptEnd | None:
         """Handle a part of the body."""
         raise NotImplementedError
 
-    def _finish(self) -> TryEnd:
+    def _finish(self) -> AttemptEnd:
         """Handle the end of the body."""
         raise NotImplementedError
 
@@ -174,7 +174,7 @@
         """Whether a part was sent; another attempt's answer cannot be joined to it."""
         return self.delivered
 
-    def calls_for_hedge(self, _now_s: float) -> bool:
+    def needs_hedge(self, _now_s: float) -> bool:
         """Whether a hedge is needed: always, as the first check is made when the answer is late."""
         return True
 
@@ -201,7 +201,7 @@
             self.answer.send(b"".join(self._parts))
             self._parts = []
 
-    def _finish(self) -> TryEnd:
+    def _finish(self) -> AttemptEnd:
         status, body = self._head.status, b"".join(self._parts)
         failed = status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in NOT_RUN_STATUSES
         if not self.delivered:
@@ -243,7 +243,7 @@
         self.next_check_s = self._last_event_s + first_s
         self._max_pause_s = PAUSE_FACTOR * self.route.pause_objective_s + PAUSE_MARGIN_S
 
-    def calls_for_hedge(self, now_s: float) -> bool:
+    def needs_hedge(self, now_s: float) -> bool:
         """Whether a hedge is needed: now if the target is suspect, else near the caller timeout."""
         latest_hedge_s = self._last_event_s + LATEST_HEDGE_SHARE * caller_timeout_s(self.route)
         if now_s >= latest_hedge_s or self.is_suspect():
@@ -272,7 +272,7 @@
             self.note_part()
             self.answer.send_event(event)
 
-    def _finish(self) -> TryEnd:
+    def _finish(self) -> AttemptEnd:
         if self._head.status != HTTPStatus.OK:
             return FailedAnswer(self._head, b"".join(self._failure))
         rest = self._splitter.rest
--- a/gladedrum/forward/request_log.py
+++ b/gladedrum/forward/request_log.py
@@ -8,10 +8,10 @@
 from ..placing.fleet_view import shown_age_s
 from ..scheduling.engine_model import EngineTraits
 from .admission import Admitted
+from .attempt_ends import AttemptEnd, Done, FailedAnswer
 from .caller_answer import request_id_of
 from .context import ForwardContext
 from .event_times import EventTimes
-from .try_ends import Done, FailedAnswer, TryEnd
 
 __all__ = ["log_attempt", "log_attempt_end", "log_no_hedge", "log_outcome"]
 
@@ -62,7 +62,7 @@
     admitted: Admitted,
     demand: Demand,
     choice: Choice,
-    end: TryEnd,
+    end: AttemptEnd,
     begun: bool,
     digest: bytes,
 ) -> None:
@@ -94,7 +94,7 @@
     )
 
 
-def log_no_hedge(admitted: Admitted, target: str, end: TryEnd) -> None:
+def log_no_hedge(admitted: Admitted, target: str, end: AttemptEnd) -> None:
     """Log why a silent attempt gets no hedge."""
     _log.info(
         "no hedge",
--- a/gladedrum/forward/life.py
+++ b/gladedrum/forward/request_task.py
@@ -24,27 +24,27 @@
 from ..scheduling.expected_loss import worth_of
 from ..utils import sleep, start
 from .admission import Admitted
-from .caller_answer import CallerAnswer
-from .context import ForwardContext
-from .event_times import EventTimes
-from .hedging import HedgedTries
-from .identity import request_digest
-from .relaying import CallerGoneError, caller_timeout_s
-from .request_log import log_attempt_end, log_no_hedge, log_outcome
-from .tries import Attempt, ForwardedRequest, PlacementBounds, TryMaker
-from .try_ends import (
+from .attempt_ends import (
     NOT_RUN_STATUSES,
     AllLeave,
+    AttemptEnd,
     Done,
     FailedAnswer,
     Lost,
     OverBudget,
     Overtaken,
     Refused,
-    TryEnd,
     Withheld,
     work_change_of,
 )
+from .attempts import Attempt, AttemptDispatcher, ForwardedRequest, PlacementBounds
+from .caller_answer import CallerAnswer
+from .context import ForwardContext
+from .event_times import EventTimes
+from .hedging import HedgedAttempts
+from .identity import request_digest
+from .relaying import CallerGoneError, caller_timeout_s
+from .request_log import log_attempt_end, log_no_hedge, log_outcome
 
 __all__ = ["RequestTask", "start_request"]
 
@@ -64,7 +64,7 @@
 MAX_WITHHELD = 3
 """Maximum number of attempts withheld before they are sent; then the request is refused."""
 
-MOST_OFFERS = 6
+MAX_ATTEMPTS = 6
 """Maximum number of attempts per request, refused ones included."""
 
 FRESH_REPORT_AGE_S = 0.9
@@ -97,9 +97,9 @@
         self._mailbox = Mailbox(ctx.clock)
         self._admitted: Admitted | None = None
         self._demand: Demand | None = None
-        self._until_s = float("inf")
-        self._dispatcher: TryMaker | None = None
-        self._hedging: HedgedTries | None = None
+        self._deadline_s = float("inf")
+        self._dispatcher: AttemptDispatcher | None = None
+        self._hedging: HedgedAttempts | None = None
         self._run_count = 0
         self._withheld_count = 0
         self._asking_report = False
@@ -120,10 +120,10 @@
             self._dispatcher.set_reading(on)
             self._hedging.set_reading(on)
 
-    def target_reborn(self, name: str) -> None:
+    def on_target_restarted(self, name: str) -> None:
         """Handle that a target has restarted under the same name."""
         if self._hedging is not None:
-            self._hedging.target_reborn(name)
+            self._hedging.on_target_restarted(name)
 
     # The task.
 
@@ -146,7 +146,7 @@
             self._admitted,
             self._demand,
             outcome,
-            self._offers,
+            self._attempt_count,
             self._times,
         )
         return outcome
@@ -160,9 +160,9 @@
         limit_s = min(
             admitted.route.time_limit_s, DEFAULT_TIME_LIMIT_S if left_s is None else left_s
         )
-        self._until_s = self._req.arrived_s + limit_s
+        self._deadline_s = self._req.arrived_s + limit_s
         self._demand = self._make_demand(admitted)
-        self._dispatcher = TryMaker(
+        self._dispatcher = AttemptDispatcher(
             ForwardedRequest(
                 self._ctx,
                 self._req,
@@ -170,7 +170,7 @@
                 self._answer,
                 self._mailbox,
                 self._times,
-                self._until_s,
+                self._deadline_s,
             )
         )
         self._ctx.repeats.note_request(self._demand.service.name)
@@ -220,11 +220,11 @@
         """Return until when the first event has to come, by the monotonic clock."""
         writing_s = answer_tokens * engine.step_s if engine is not None else 0.0
         timeout_s = caller_timeout_s(route) if route.streaming else float("inf")
-        return min(self._until_s - writing_s, self._req.arrived_s + timeout_s)
+        return min(self._deadline_s - writing_s, self._req.arrived_s + timeout_s)
 
     # Attempts.
 
-    async def _run_attempt(self) -> TryEnd:
+    async def _run_attempt(self) -> AttemptEnd:
         self._demand = self._with_digest(self._demand)
         prepared = await self._dispatcher.prepare(self._demand)
         if self._caller_left:
@@ -233,13 +233,15 @@
         if not isinstance(prepared, Attempt):
             return prepared
         self._send(prepared)
-        self._hedging = HedgedTries(self._ctx.clock, self._mailbox, self._until_s, prepared, self)
+        self._hedging = HedgedAttempts(
+            self._ctx.clock, self._mailbox, self._deadline_s, prepared, self
+        )
         return await self._hedging.run()
 
     def _send(self, prepared: Attempt) -> None:
         self._dispatcher.send(prepared, self._demand)
 
-    def attempt_ended(self, ended: Attempt, end: TryEnd) -> None:
+    def attempt_ended(self, ended: Attempt, end: AttemptEnd) -> None:
         """End an attempt and log its failure.
 
         If a helping engine is at fault, the verdict is recorded against it, not against the target.
@@ -266,7 +268,7 @@
                 self._withheld_count += 1
                 self._dispatcher.undo_send(ended)
 
-    def _note_suspicion(self, ended: Attempt, end: TryEnd, helper: str | None) -> None:
+    def _note_suspicion(self, ended: Attempt, end: AttemptEnd, helper: str | None) -> None:
         """Record whether an attempt is evidence that the request crashes its targets.
 
         Helping engines may have crashed as well; `Suspicion` finds out later which ones did.
@@ -292,10 +294,12 @@
     def may_hedge(self, in_progress: int) -> bool:
         """Whether the request may run on one more target beside its attempts in progress."""
         route = self._admitted.route
-        more = self._run_count + in_progress < route.max_targets and self._offers < MOST_OFFERS
+        more = (
+            self._run_count + in_progress < route.max_targets and self._attempt_count < MAX_ATTEMPTS
+        )
         return route.idempotent and more
 
-    async def search_hedge(self, silent: Attempt) -> Attempt | TryEnd:
+    async def search_hedge(self, silent: Attempt) -> Attempt | AttemptEnd:
         """Prepare a hedge of a silent attempt; return it, or why there is none."""
         demand = self._with_digest(self._demand)
         demand = replace(demand, committed=True, lost_s=self._caller_leaves_s())
@@ -330,7 +334,7 @@
         route = self._admitted.route
         timeout_s = caller_timeout_s(route) if route.streaming else float("inf")
         leaves_s = self._times.last_activity_s + timeout_s
-        return min(self._until_s, leaves_s if leaves_s > self._now_s() else float("inf"))
+        return min(self._deadline_s, leaves_s if leaves_s > self._now_s() else float("inf"))
 
     def check_report(self, silent: Attempt) -> None:
         """Check a silent attempt against a report of its engine, requesting one if none is fresh.
@@ -385,7 +389,7 @@
 
     # Between attempts.
 
-    async def _decide_next(self, end: TryEnd) -> Outcome | None:
+    async def _decide_next(self, end: AttemptEnd) -> Outcome | None:
         """Return the outcome if the request ends here, None for a further attempt."""
         route = self._admitted.route
         match end:
@@ -404,12 +408,16 @@
                 return await self._wait_or_refuse(come_back_s)
             case Withheld(reason=reason):
                 # Another target may be free: the attempt waited for a connection, not for room.
-                is_over = self._now_s() >= self._until_s or self._withheld_count >= MAX_WITHHELD
+                is_over = self._now_s() >= self._deadline_s or self._withheld_count >= MAX_WITHHELD
                 return self._give_up(reason) if is_over else None
             case Refused(reason=reason):
                 waited_s = self._now_s() - self._req.arrived_s
                 no_place = not end.at_target and waited_s > MAX_WAIT_SHARE * route.objective_s
-                if no_place or self._offers >= MOST_OFFERS or self._now_s() >= self._until_s:
+                if (
+                    no_place
+                    or self._attempt_count >= MAX_ATTEMPTS
+                    or self._now_s() >= self._deadline_s
+                ):
                     return self._give_up(reason)
                 if not end.at_target:
                     await self._pause(NO_PLACE_PAUSE_S)
@@ -440,19 +448,19 @@
 
     def _may_run_again(self) -> bool:
         route = self._admitted.route
-        in_time = self._now_s() < self._until_s
+        in_time = self._now_s() < self._deadline_s
         # A plain answer that is partly sent cannot be continued by another attempt.
         joinable = route.streaming or not self._answer.begun
         return route.idempotent and joinable and self._run_count < route.max_targets and in_time
 
     async def _pause(self, pause_s: float) -> None:
-        await sleep(self._ctx.clock, min(pause_s, max(0.0, self._until_s - self._now_s())))
+        await sleep(self._ctx.clock, min(pause_s, max(0.0, self._deadline_s - self._now_s())))
 
     def _now_s(self) -> float:
         return self._ctx.clock.seconds()
 
     @property
-    def _offers(self) -> int:
+    def _attempt_count(self) -> int:
         return self._dispatcher.attempt_count if self._dispatcher is not None else 0
 
     def _give_up(self, reason: str, come_back_s: float = RETRY_AFTER_S) -> Outcome:
@@ -483,7 +491,7 @@
     return max(1, min(likely, marks.answer_tokens or likely))
 
 
-def _helper_at_fault(choice: Choice, end: TryEnd) -> str | None:
+def _helper_at_fault(choice: Choice, end: AttemptEnd) -> str | None:
     """Return the helping engine that caused a refusal, None if there is none."""
     if not isinstance(end, Refused) or not end.at_fault:
         return None
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -22,8 +22,8 @@
 from gladedrum.forward.admission import Admission
 from gladedrum.forward.context import ForwardContext
 from gladedrum.forward.identity import request_digest
-from gladedrum.forward.life import start_request
-from gladedrum.forward.measures import ForwardMetrics
+from gladedrum.forward.metrics import ForwardMetrics
+from gladedrum.forward.request_task import start_request
 from gladedrum.gossip.port import GossipPort
 from gladedrum.placing.choosing import Chooser
 from gladedrum.placing.fleet_view import FleetView
@@ -257,7 +257,7 @@
     def _on_target_restart(self, name):
         self.targets.note_start(name, self.view.state(name).born)
         for task in self.tasks:
-            task.target_reborn(name)
+            task.on_target_restarted(name)
 
     def caller(self) -> "Caller":
         return Caller(self)
--- a/gladedrum/forward/tests/test_hedging_review.py
+++ b/gladedrum/forward/tests/test_hedging_review.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gladedrum.forward import hedging, life
+from gladedrum.forward import hedging, request_task
 from gladedrum.forward.relaying import BUFFERED_BYTES
 from gladedrum.forward.tests.support import World, answer, chunk, event, not_run, stream_head
 from gladedrum.forward.tests.test_drain import stop
@@ -58,14 +58,14 @@
 
 def test_a_pause_in_a_long_plain_answer_causes_no_busy_loop(monkeypatch):
     checks = []
-    check = hedging.HedgedTries._look
+    check = hedging.HedgedAttempts._check_silence
 
     def bounded(self, now_s):
         checks.append(now_s)
         assert len(checks) < 1000
         return check(self, now_s)
 
-    monkeypatch.setattr(hedging.HedgedTries, "_look", bounded)
+    monkeypatch.setattr(hedging.HedgedAttempts, "_check_silence", bounded)
     world = plain_world()
     _caller, target = send_and_connect(world)
     target.reply(stream_head() + chunk(LONG))
@@ -121,7 +121,7 @@
             if not hedge.closed and hedge.wire.pop_written():
                 hedge.reply(not_run())
     assert not lead.closed
-    assert world.ctx.pool.opened <= life.MOST_OFFERS
+    assert world.ctx.pool.opened <= request_task.MAX_ATTEMPTS
 
 
 def test_a_hedge_is_not_sent_to_the_silent_target():
@@ -197,7 +197,7 @@
     before = world.repeats.left("s", world.net.seconds())
     choose = world.ctx.chooser.choose
     world.ctx.chooser.choose = lambda *args: choose(*args)._replace(reserved=True)
-    monkeypatch.setattr("gladedrum.forward.tries.TryMaker._reserve", no_memory)
+    monkeypatch.setattr("gladedrum.forward.attempts.AttemptDispatcher._reserve", no_memory)
     wait_with_reports(world, 3.0)
     assert world.repeats.left("s", world.net.seconds()) == pytest.approx(before)
 
--- a/gladedrum/forward/tests/test_joined_review.py
+++ b/gladedrum/forward/tests/test_joined_review.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from gladedrum.forward.attempts import AttemptDispatcher
 from gladedrum.forward.tests.support import chunk, event
 from gladedrum.forward.tests.test_hedging import (
     placed_work,
@@ -9,7 +10,6 @@
     streaming_world,
     wait_with_reports,
 )
-from gladedrum.forward.tries import TryMaker
 
 
 def fail_once(monkeypatch, owner, name):
@@ -41,7 +41,7 @@
 def test_a_failed_hedge_preparation_releases_its_placement(monkeypatch):
     world = streaming_world(time_limit_s=8.0)
     start_streams(world, 1)
-    fail_once(monkeypatch, TryMaker, "_get_memory")
+    fail_once(monkeypatch, AttemptDispatcher, "_reserve_memory")
     wait_with_reports(world, 1.45)
     assert len(world.net.opened) == 1
     assert placed_work(world) == 1
--- a/gladedrum/forward/tests/test_reload.py
+++ b/gladedrum/forward/tests/test_reload.py
@@ -12,9 +12,9 @@
     box = ForwardingBox(MemoryReactorClock(), parse_settings(TEXT.format(5000)))
     box._configuration._confirm(box._reactor.seconds())
     box._reactor.advance(3.0)
-    assert box._ctx.admission.keys_are_vouched_for
+    assert box._ctx.admission.keys_are_trusted
     box.reload(parse_settings(TEXT.format(2000)))
-    assert not box._ctx.admission.keys_are_vouched_for
+    assert not box._ctx.admission.keys_are_trusted
 
 
 def test_a_box_without_configuration_reports_why_it_is_not_ready():
--- a/gladedrum/forward/tests/test_withheld.py
+++ b/gladedrum/forward/tests/test_withheld.py
@@ -27,7 +27,7 @@
     world.run()
     assert caller.status == 200
     assert world.ctx.metrics.repeats.labels("sent")._value.get() == 0
-    assert world.tasks[0]._offers == 1
+    assert world.tasks[0]._attempt_count == 1
 
 
 def test_a_request_withheld_everywhere_is_refused_as_not_run():
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -11,12 +11,12 @@
 from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.connections import target_conn
 from gladedrum.daemon.main import main
-from gladedrum.forward import life
+from gladedrum.forward import request_task
 from gladedrum.forward.admission import Admission
+from gladedrum.forward.attempt_ends import AttemptEnd, Lost
 from gladedrum.forward.box import ForwardingBox
-from gladedrum.forward.hedging import HedgedTries
+from gladedrum.forward.hedging import HedgedAttempts
 from gladedrum.forward.reservations import ReservationSet
-from gladedrum.forward.try_ends import Lost, TryEnd
 from gladedrum.outcome import NotRun
 from gladedrum.placing.fleet_view import FleetView
 from gladedrum.placing.suspicion import Suspicion
@@ -29,20 +29,20 @@
 
 def _repeat_everything() -> None:
     """Send a request again, whatever may have run."""
-    life.RequestTask._may_run_again = lambda task: task._now_s() < task._until_s
+    request_task.RequestTask._may_run_again = lambda task: task._now_s() < task._deadline_s
 
 
 def _call_lost_not_run() -> None:
     """Tell callers that a request has not run when nobody knows."""
-    fail = life.CallerAnswer.fail
-    life.CallerAnswer.fail = lambda answer, outcome: (
+    fail = request_task.CallerAnswer.fail
+    request_task.CallerAnswer.fail = lambda answer, outcome: (
         fail(answer, outcome) if answer.begun else answer.refuse(NotRun("lost", 0.1))
     )
 
 
 def _trust_old_keys() -> None:
     """Trust keys whatever the age of the configuration."""
-    Admission.keys_are_vouched_for = property(lambda _admission: True)
+    Admission.keys_are_trusted = property(lambda _admission: True)
 
 
 def _send_to_leaving() -> None:
@@ -64,16 +64,16 @@
 
 def _give_up_silent() -> None:
     """End a silent try before another target is looked for."""
-    look = HedgedTries._look
+    look = HedgedAttempts._check_silence
 
-    def give_up_or_look(tries: HedgedTries, now_s: float) -> TryEnd | None:
-        if tries._look_s() <= now_s < tries.until_s:
-            silent = tries._tries[-1]
-            if silent.relay.calls_for_hedge(now_s):
-                return tries._end(silent, Lost("the target has fallen silent"))
-        return look(tries, now_s)
+    def give_up_or_look(attempts: HedgedAttempts, now_s: float) -> AttemptEnd | None:
+        if attempts._next_check_s() <= now_s < attempts.deadline_s:
+            silent = attempts._attempts[-1]
+            if silent.relay.needs_hedge(now_s):
+                return attempts._end(silent, Lost("the target has fallen silent"))
+        return look(attempts, now_s)
 
-    HedgedTries._look = give_up_or_look
+    HedgedAttempts._check_silence = give_up_or_look
 
 
 def _keep_memory() -> None:
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from typing import NamedTuple
 
-from gladedrum.forward.try_ends import NOT_RUN_STATUSES
+from gladedrum.forward.attempt_ends import NOT_RUN_STATUSES
 from gladedrum.standins.target import event_of, plain_answer_of
 
 from .boxes import CHANGE_BOUND_S, KEY_BOUND_S, LEAVE_BOUND_S
