--- a/gladedrum/conftest.py
+++ b/gladedrum/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import settings
 
-from gladedrum.forward.tests.support import leave_all
+from gladedrum.forward.tests.support import disconnect_all_callers
 
 settings.register_profile("same-every-time", derandomize=True, deadline=None)
 settings.load_profile("same-every-time")
@@ -13,4 +13,4 @@
 def end_remaining_requests():
     """End the requests that a test has left running."""
     yield
-    leave_all()
+    disconnect_all_callers()
--- a/gladedrum/connections/tests/test_pool.py
+++ b/gladedrum/connections/tests/test_pool.py
@@ -16,31 +16,31 @@
     kept in this state would never deliver the next response."""
     world = stream_world()
     slow = world.caller()
-    slow.ask(b"body")
+    slow.send_request(b"body")
     side = world.attempt()
-    slow.wire.write = lambda _data: slow.proto.pauseProducing()
+    slow.transport.write = lambda _data: slow.proto.pauseProducing()
     side.reply(stream_head() + chunk(event(1)) + chunk(b""))
     other = world.caller()
-    other.ask(b"body")
+    other.send_request(b"body")
     assert len(world.net.opened) == 1
-    assert side.wire.producerState == "producing"
+    assert side.transport.producerState == "producing"
 
 
 def test_busy_connection_stays_open_when_its_target_is_unlisted_or_the_pool_is_full():
     """Only idle connections are closed when a target leaves the list or the pool is full."""
     world = stream_world()
     caller = world.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     side = world.attempt()
     side.reply(stream_head() + chunk(event(1)))
-    world.ctx.pool.forget_place(side.place)
+    world.ctx.pool.forget_place(side.address)
     others = [world.caller() for _ in range(MAX_IDLE_PER_TARGET + 2)]
     for other in others:
-        other.ask(b"body")
+        other.send_request(b"body")
     for used in world.net.opened[1:]:
         used.reply(answer())
     world.list_targets(1, leaving=("t1",))
-    world.ctx.pool.forget_place(side.place)
+    world.ctx.pool.forget_place(side.address)
     assert not side.closed
     side.reply(chunk(event(2)) + chunk(b""))
-    assert caller.got.endswith(chunk(event(2)) + chunk(b""))
+    assert caller.received.endswith(chunk(event(2)) + chunk(b""))
--- a/gladedrum/forward/tests/crashing.py
+++ b/gladedrum/forward/tests/crashing_fleet.py
@@ -111,10 +111,10 @@
         """Crash an engine independently of its requests."""
         self._crash(engine, self.net.seconds())
 
-    def ask(self, body: bytes, box: str = "box1", key: str = "k1", path: bytes = b"/x/2f"):
+    def send_request(self, body: bytes, box: str = "box1", key: str = "k1", path: bytes = b"/x/2f"):
         """Have a new caller send a request to a box; return the caller."""
         caller = self.boxes[box].caller()
-        caller.ask(body, path, key=key.encode())
+        caller.send_request(body, path, key=key.encode())
         return caller
 
     def advance(self, seconds: float, step_s: float = 0.01) -> None:
@@ -173,11 +173,11 @@
                 self._run_requests(engine, now_s)
 
     def _receive(self, _index: int, side) -> None:
-        engine = self.engines[side.place[1]]
+        engine = self.engines[side.address[1]]
         if not engine.up:
             side.disconnect()
             return
-        data = side.wire.pop_written()
+        data = side.transport.pop_written()
         head, _, body = data.partition(b"\r\n\r\n")
         if head.split(b" ")[1] == wire.REPORT_PATH.encode():
             side.reply(_report(engine))
@@ -212,7 +212,7 @@
         engine.up, engine.runs = False, []
         self.net.refusing.add(engine.port)
         for side in self.net.opened:
-            if side.place[1] == engine.port and not side.closed:
+            if side.address[1] == engine.port and not side.closed:
                 side.disconnect()
         self.net.callLater(RESTART_DELAY_S, self._restart, engine)
 
--- a/gladedrum/forward/tests/limiting.py
+++ b/gladedrum/forward/tests/rate_limiting_fleet.py
@@ -7,7 +7,7 @@
 import random
 from typing import NamedTuple
 
-from gladedrum.forward.tests.crashing import CrashingFleet, Engine
+from gladedrum.forward.tests.crashing_fleet import CrashingFleet, Engine
 from gladedrum.forward.tests.support import World
 from gladedrum.platform import wire
 
@@ -60,7 +60,7 @@
         names = list(self.boxes)
         until_s = self.net.seconds() + for_s
         while self.net.seconds() < until_s:
-            callers.append(self.ask(b"q%d" % len(callers), rng.choice(names)))
+            callers.append(self.send_request(b"q%d" % len(callers), rng.choice(names)))
             self.advance(rng.expovariate(per_s))
         return callers
 
@@ -89,7 +89,7 @@
     # Engines.
 
     def _receive(self, index: int, side) -> None:
-        engine = self.engines[side.place[1]]
+        engine = self.engines[side.address[1]]
         if engine.up:
             box = self._box_of(side)
             path = side.sent.split(b" ", 2)[1]
--- a/gladedrum/forward/tests/saying.py
+++ b/gladedrum/forward/tests/statement_fleet.py
@@ -7,7 +7,7 @@
 import re
 from typing import NamedTuple
 
-from gladedrum.forward.tests.limiting import Arrival, RateLimitingFleet, is_report
+from gladedrum.forward.tests.rate_limiting_fleet import Arrival, RateLimitingFleet, is_report
 from gladedrum.forward.tests.support import answer
 from gladedrum.platform import wire
 
@@ -91,13 +91,13 @@
     # Targets.
 
     def _receive(self, index: int, side) -> None:
-        engine, box = self.engines[side.place[1]], self._box_of(side)
+        engine, box = self.engines[side.address[1]], self._box_of(side)
         backoff = self.refusals.get((engine.port, box))
         is_request = wire.REPORT_PATH.encode() not in side.sent.split(b"\r\n")[0]
         if not engine.up or backoff is None or not is_request:
             super()._receive(index, side)
             return
-        now_s, data = self.net.seconds(), side.wire.pop_written()
+        now_s, data = self.net.seconds(), side.transport.pop_written()
         self.arrivals.append(Arrival(now_s, engine.port, box, data.split(b" ", 2)[1]))
         self._add_statements(side, engine)
         if re.fullmatch(rb"[0-9.]+", backoff):
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -73,28 +73,28 @@
 
 
 class TargetSide:
-    """The target's end of a connection that a box has opened; `place` is its (host, port)."""
+    """The target's end of a connection that a box has opened; `address` is its (host, port)."""
 
-    def __init__(self, place, proto):
-        self.place = place
-        self.wire = RecordingTransport()
-        self.wire.proto = self.proto = proto
-        proto.makeConnection(self.wire)
+    def __init__(self, address, proto):
+        self.address = address
+        self.transport = RecordingTransport()
+        self.transport.proto = self.proto = proto
+        proto.makeConnection(self.transport)
 
     @property
     def sent(self) -> bytes:
-        return self.wire.value()
+        return self.transport.value()
 
     @property
     def closed(self) -> str:
-        return self.wire.closed
+        return self.transport.closed
 
     def reply(self, data: bytes) -> None:
         self.proto.dataReceived(data)
 
     def disconnect(self, orderly: bool = False) -> None:
         reason = error.ConnectionDone() if orderly else error.ConnectionLost()
-        self.wire.closed = self.wire.closed or "by the target"
+        self.transport.closed = self.transport.closed or "by the target"
         self.proto.connectionLost(Failure(reason))
 
 
@@ -122,7 +122,7 @@
 _callers: list["Caller"] = []
 
 
-def leave_all() -> None:
+def disconnect_all_callers() -> None:
     """Disconnect the callers of all worlds, so that no request outlives its test.
 
     A request that is garbage-collected during a later test would release its resources there, and
@@ -130,7 +130,7 @@
     """
     while _callers:
         caller = _callers.pop()
-        if not caller.wire.closed:
+        if not caller.transport.closed:
             caller.disconnect()
 
 
@@ -263,7 +263,7 @@
         return Caller(self)
 
     def digest_of(self, body: bytes) -> bytes:
-        """Return the digest of a body that `Caller.ask` sends with its defaults."""
+        """Return the digest of a body that `Caller.send_request` sends with its defaults."""
         headers = [(b"host", b"a.example")]
         return request_digest(CallerRequest(b"POST", b"/x/2f", headers, body, 0.0), "org")
 
@@ -282,29 +282,29 @@
 
 
 class Caller:
-    """The caller's end of a connection to the box; `got` holds the bytes received so far."""
+    """The caller's end of a connection to the box; `received` holds the bytes received so far."""
 
     def __init__(self, world: World):
         self.world = world
         self.proto: protocol.Protocol = world.factory.buildProtocol(None)
-        self.wire = RecordingTransport()
-        self.wire.proto = self.proto
-        self.proto.makeConnection(self.wire)
+        self.transport = RecordingTransport()
+        self.transport.proto = self.proto
+        self.proto.makeConnection(self.transport)
         _callers.append(self)
 
     @property
-    def got(self) -> bytes:
-        return self.wire.value()
+    def received(self) -> bytes:
+        return self.transport.value()
 
     @property
     def status(self) -> int:
-        return int(self.got.split(b" ", 2)[1])
+        return int(self.received.split(b" ", 2)[1])
 
     def send(self, data: bytes) -> None:
         self.proto.dataReceived(data)
         self.world.run()
 
-    def ask(
+    def send_request(
         self,
         body: bytes | None = None,
         path: bytes = b"/x/2f",
@@ -319,7 +319,7 @@
         self.send(head + b"\r\n" + (body or b""))
 
     def disconnect(self) -> None:
-        self.wire.closed = "by the caller"
+        self.transport.closed = "by the caller"
         self.proto.connectionLost(Failure(error.ConnectionDone()))
         self.world.run()
 
--- a/gladedrum/forward/tests/test_resting_answers.py
+++ b/gladedrum/forward/tests/test_backoff_statements.py
@@ -5,7 +5,7 @@
 
 import itertools
 
-from gladedrum.forward.tests.saying import MAX_DURING_BACKOFF, PlainFleet, StatementFleet
+from gladedrum.forward.tests.statement_fleet import MAX_DURING_BACKOFF, PlainFleet, StatementFleet
 
 BACKOFF_S = 3.0
 
@@ -43,7 +43,7 @@
         fleet.send_random_requests(per_s=20, for_s=1.0)
         left_s = min(backoff.to_s for backoff in fleet.backoffs) - fleet.net.seconds()
         sent = len(fleet.arrivals)
-        caller = fleet.ask(b"late")
+        caller = fleet.send_request(b"late")
         assert caller.status == 503
         assert left_s - 0.05 <= _retry_after_s(caller) <= 1.5 * left_s + 0.05
         assert len(fleet.arrivals) == sent
@@ -67,7 +67,7 @@
     fleet.refuse_with_backoff(port, b"10", boxes=("box1",))
     fleet.send_random_requests(per_s=20, for_s=1.0)
     asked_s = fleet.net.seconds()
-    others = [fleet.ask(b"q", box) for box in ("box2", "box3")]
+    others = [fleet.send_request(b"q", box) for box in ("box2", "box3")]
     fleet.advance(1.0)
     assert [caller.status for caller in others] == [200, 200]
     assert fleet.requests_received(port, asked_s, "box1") == []
@@ -80,12 +80,12 @@
     for port in fleet.engines:
         fleet.refuse_with_backoff(port, b"6", boxes=(outside,))
     while {backoff.port for backoff in fleet.backoffs} != set(fleet.engines):
-        fleet.ask(b"q", outside)
+        fleet.send_request(b"q", outside)
         fleet.advance(0.5)
-    callers = [fleet.ask(b"late", outside)]
+    callers = [fleet.send_request(b"late", outside)]
     for _ in range(5):
         fleet.advance(0.4)
-        callers.append(fleet.ask(b"late", outside))
+        callers.append(fleet.send_request(b"late", outside))
     fleet.advance(0.3)
     assert {caller.status for caller in callers} == {503}
     assert fleet.most_during_backoff() <= MAX_DURING_BACKOFF
@@ -96,7 +96,7 @@
     port = min(fleet.engines)
     reader = next(a.box for a in reversed(fleet.arrivals))
     fleet.refuse_with_backoff(port, b"6", boxes=(reader,))
-    fleet.ask(b"q", reader)
+    fleet.send_request(b"q", reader)
     fleet.advance(5.0)
     assert fleet.most_during_backoff() == 0
     ages_s = [fleet.net.seconds() - box.view.state("t1").reported_s for box in fleet.boxes.values()]
@@ -116,7 +116,7 @@
 
 
 def _retry_after_s(caller) -> float:
-    head, _, _ = caller.got.partition(b"\r\n\r\n")
+    head, _, _ = caller.received.partition(b"\r\n\r\n")
     return float(
         dict(line.lower().split(b": ") for line in head.split(b"\r\n")[1:])[b"retry-after"]
     )
--- a/gladedrum/forward/tests/test_crashing_fleet.py
+++ b/gladedrum/forward/tests/test_crashing_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gladedrum.fleet import TargetReport
-from gladedrum.forward.tests.crashing import RESTART_DELAY_S, CrashingFleet
+from gladedrum.forward.tests.crashing_fleet import RESTART_DELAY_S, CrashingFleet
 from gladedrum.forward.tests.support import World, answer
 from gladedrum.forward.tests.test_reservations import grant_all, long_world, orders, requests
 from gladedrum.outcome import Completed, NotRun
@@ -26,7 +26,7 @@
 
 def condemn(fleet, body=b"deadly"):
     for _ in range(4):
-        fleet.ask(body)
+        fleet.send_request(body)
         fleet.advance(0.5)
     assert set(standings(fleet, body)) == {Standing.CONDEMNED}
 
@@ -36,17 +36,17 @@
     condemn(fleet)
     sent = len(fleet.sent)
     for name, box in fleet.boxes.items():
-        caller = fleet.ask(b"deadly", name)
+        caller = fleet.send_request(b"deadly", name)
         assert caller.status == 503
         assert isinstance(box.outcomes[-1], NotRun)
-        assert float(caller.got.lower().split(b"retry-after: ")[1].split(b"\r\n")[0]) > 100
+        assert float(caller.received.lower().split(b"retry-after: ")[1].split(b"\r\n")[0]) > 100
     assert len(fleet.sent) == sent
 
 
 def test_a_higher_request_rate_crashes_no_further_engines():
     fleet = CrashingFleet(boxes=3)
     for index in range(100):
-        fleet.ask(b"deadly", f"box{index % 3 + 1}")
+        fleet.send_request(b"deadly", f"box{index % 3 + 1}")
         fleet.advance(0.05)
     assert len(fleet.crashes) <= 4
     assert fleet.sent_after(b"deadly", fleet.crash_times_of(b"deadly")[2] + 0.2) == 0
@@ -59,7 +59,7 @@
     fleet.deadly.clear()
     fleet.advance(RESTART_DELAY_S)
     for key, path in (("k2", b"/x/2f"), ("k1", b"/x/other")):
-        caller = fleet.ask(b"deadly", key=key, path=path)
+        caller = fleet.send_request(b"deadly", key=key, path=path)
         fleet.advance(1.0)
         assert caller.status == 200, (key, path)
 
@@ -68,7 +68,7 @@
     fleet = CrashingFleet(targets=16, boxes=6)
     for _ in range(6):
         for name in fleet.boxes:
-            fleet.ask(b"deadly", name)
+            fleet.send_request(b"deadly", name)
         fleet.advance(0.5)
     assert len(fleet.crashes) <= 6
     assert fleet.sent_after(b"deadly", fleet.crash_times_of(b"deadly")[2] + 0.5) == 0
@@ -79,7 +79,7 @@
     fleet, rng = CrashingFleet(boxes=5), random.Random(seed)
     fleet.is_lost = lambda _sender, _receiver: rng.random() < 0.1
     for index in range(4):
-        fleet.ask(b"deadly", f"box{index + 1}")
+        fleet.send_request(b"deadly", f"box{index + 1}")
         fleet.advance(0.5)
     fleet.advance(fleet.crash_times_of(b"deadly")[2] + 3.0 - fleet.net.seconds())
     assert set(standings(fleet)) == {Standing.CONDEMNED}
@@ -87,7 +87,7 @@
 
 def test_a_loss_is_reported_even_if_the_box_dies_right_after_it():
     fleet = CrashingFleet(boxes=3)
-    caller = fleet.ask(b"deadly", "box1")
+    caller = fleet.send_request(b"deadly", "box1")
     fleet.advance(0.13)
     assert len(fleet.crashes) == 1
     caller.disconnect()
@@ -95,7 +95,7 @@
     fleet.advance(0.5)
     assert set(standings(fleet)) == {Standing.WATCHED}
     for name in ("box2", "box3", "box2"):
-        fleet.ask(b"deadly", name)
+        fleet.send_request(b"deadly", name)
         fleet.advance(0.6)
     assert len(fleet.crashes) == 3
     assert set(standings(fleet)) == {Standing.CONDEMNED}
@@ -107,9 +107,9 @@
     fleet, rng = CrashingFleet(targets=6, boxes=2), random.Random(seed)
     bodies = [b"good%d" % index for index in range(160)]
     for index, body in enumerate(bodies):
-        fleet.ask(body, f"box{rng.randrange(2) + 1}")
+        fleet.send_request(body, f"box{rng.randrange(2) + 1}")
         if index % 12 == 6:
-            fleet.ask(b"deadly", f"box{rng.randrange(2) + 1}")
+            fleet.send_request(b"deadly", f"box{rng.randrange(2) + 1}")
         fleet.advance(0.02)
     fleet.advance(4.0)
     known = {row.digest for box in fleet.boxes.values() for row in box.ctx.suspicion.condemned()}
@@ -123,7 +123,7 @@
     rng = random.Random(seed)
     for _ in range(20):
         for body in (b"deadly", b"fatal", b"good%d" % rng.randrange(1000)):
-            fleet.ask(body, f"box{rng.randrange(3) + 1}")
+            fleet.send_request(body, f"box{rng.randrange(3) + 1}")
             fleet.advance(0.05)
         fleet.advance(0.2)
     assert set(standings(fleet, b"deadly")) == set(standings(fleet, b"fatal"))
@@ -134,13 +134,13 @@
 
 def test_an_innocent_suspect_runs_alone_and_is_cleared():
     fleet = CrashingFleet(targets=6, max_targets=4)
-    fleet.ask(b"innocent")
+    fleet.send_request(b"innocent")
     for _ in range(2):
         fleet.advance(0.05)
         fleet.crash(next(engine for engine in fleet.engines.values() if engine.runs))
         fleet.advance(0.02)
     assert standings(fleet, b"innocent") == [Standing.ALONE]
-    fleet.ask(b"other")
+    fleet.send_request(b"other")
     fleet.advance(0.1)
     assert {len(engine.runs) for engine in fleet.engines.values()} == {0, 1}
     fleet.advance(3.0)
@@ -151,14 +151,14 @@
 def test_connection_resets_do_not_count_as_crashes():
     fleet = CrashingFleet(targets=6, deadly=())
     for _ in range(6):
-        fleet.ask(b"same")
+        fleet.send_request(b"same")
         fleet.advance(0.05)
         for side in fleet.net.opened:
             if not side.closed:
                 side.disconnect()
         fleet.advance(2.0)
     assert standings(fleet, b"same") == [Standing.CLEAR]
-    fleet.ask(b"same")
+    fleet.send_request(b"same")
     fleet.advance(1.0)
     assert fleet.boxes["box1"].outcomes[-1] == Completed()
 
@@ -174,14 +174,14 @@
     fleet.advance(0.1)
     assert set(standings(fleet)) == {Standing.CLEAR}
     fleet.deadly.clear()
-    caller = fleet.ask(b"deadly", "box2")
+    caller = fleet.send_request(b"deadly", "box2")
     fleet.advance(1.0)
     assert caller.status == 200
 
 
 def test_no_digest_is_computed_without_suspects():
     fleet = CrashingFleet(deadly=())
-    fleet.ask(b"good")
+    fleet.send_request(b"good")
     fleet.advance(1.0)
     (task,) = fleet.boxes["box1"].tasks
     assert "_digest" not in vars(task)
@@ -196,11 +196,11 @@
         box.view.suspects.note_ended(TargetStart(target, 1000), fleet.net.seconds())
     plan = WorkPlan("gone_1", ("t3",), digest=digest, alone=True)
     box.view.note_placed(plan, fleet.net.seconds())
-    assert fleet.ask(b"same", "box2").got == b""
+    assert fleet.send_request(b"same", "box2").received == b""
     fleet.advance(0.3)
     assert box.outcomes[-1].reason.startswith("another run of it")
     fleet.advance(5.0)
-    caller = fleet.ask(b"same", "box2")
+    caller = fleet.send_request(b"same", "box2")
     fleet.advance(1.0)
     assert caller.status == 200
 
@@ -208,12 +208,12 @@
 def lose_plain_request(world, crashes):
     """Break a plain request's connection, optionally crash its target; return the port."""
     caller = world.caller()
-    caller.ask(b"same")
+    caller.send_request(b"same")
     side = world.attempt()
     side.disconnect()
     if crashes:
-        world.net.refusing.add(side.place[1])
-    return side.place[1]
+        world.net.refusing.add(side.address[1])
+    return side.address[1]
 
 
 def test_a_crash_of_a_plain_target_is_detected_by_connecting():
@@ -232,7 +232,7 @@
     world.run(1.5)
     assert world.ctx.suspicion.standing(world.digest_of(b"same")) is Standing.CLEAR
     caller = world.caller()
-    caller.ask(b"same")
+    caller.send_request(b"same")
     world.attempt().reply(answer())
     assert caller.status == 200
 
@@ -243,7 +243,7 @@
     for name, report in reports.items():
         world.view.note_report(name, report, world.net.seconds())
     caller = world.caller()
-    caller.ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
+    caller.send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     grant_all(world)
     (side,) = requests(world)
--- a/gladedrum/forward/tests/test_crashing_request.py
+++ b/gladedrum/forward/tests/test_crashing_request.py
@@ -4,7 +4,7 @@
 under new request ids.
 """
 
-from gladedrum.forward.tests.crashing import CrashingFleet
+from gladedrum.forward.tests.crashing_fleet import CrashingFleet
 
 ARRIVALS, INTERVAL_S = 24, 0.5
 PROPAGATION_S = 3.0
@@ -15,7 +15,7 @@
 def sent_late(fleet: CrashingFleet) -> int:
     """Send a deadly request many times; return how often engines got it after it was known."""
     for _ in range(ARRIVALS):
-        fleet.ask(b"deadly")
+        fleet.send_request(b"deadly")
         fleet.advance(INTERVAL_S)
     third_s = fleet.crash_times_of(b"deadly")[2]
     return fleet.sent_after(b"deadly", third_s + PROPAGATION_S)
--- a/gladedrum/forward/tests/test_drain.py
+++ b/gladedrum/forward/tests/test_drain.py
@@ -24,8 +24,8 @@
     world = World(time_limit_s=30.0)
     caller = world.caller()
     unsent = []
-    caller.wire.loseConnection = lambda: unsent.append(1)  # closes only once all is written
-    caller.ask(b"body")
+    caller.transport.loseConnection = lambda: unsent.append(1)  # closes only once all is written
+    caller.send_request(b"body")
     drained = stop(world)
     world.run(4.0)
     world.attempt().reply(answer())
@@ -41,10 +41,10 @@
     world = World()
     caller = world.caller()
     drained = stop(world)
-    caller.ask(b"body")
+    caller.send_request(b"body")
     world.attempt().reply(answer())
-    assert b"connection: close" in caller.got.lower()
-    assert caller.wire.closed
+    assert b"connection: close" in caller.received.lower()
+    assert caller.transport.closed
     world.run(ACCEPT_ON_S + 0.1)
     assert drained
 
@@ -54,15 +54,15 @@
     caller = world.caller()
     stop(world)
     world.run(ACCEPT_ON_S - 0.2)
-    assert not caller.wire.closed
+    assert not caller.transport.closed
     world.run(0.3)
-    assert caller.wire.closed
+    assert caller.transport.closed
 
 
 def test_requests_that_could_not_finish_in_time_are_not_accepted():
     """Guards against accepting a request so late that the end of the process cuts it off."""
     world = World(time_limit_s=30.0)
-    world.caller().ask(b"body")
+    world.caller().send_request(b"body")
     stop(world)
     world.run(ACCEPT_ON_S - 0.2)
     assert world.accepting
@@ -72,7 +72,7 @@
 
 def test_drain_finishes_before_the_process_would_be_killed():
     world = World(time_limit_s=30.0)
-    world.caller().ask(b"body")
+    world.caller().send_request(b"body")
     drained = stop(world)
     world.run(7.5)
     assert drained
@@ -82,10 +82,10 @@
     world = World()
     world.factory.keep = False
     caller = world.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     world.attempt().reply(answer())
-    assert b"connection: close" in caller.got.lower()
-    assert caller.wire.closed == "closed"
+    assert b"connection: close" in caller.received.lower()
+    assert caller.transport.closed == "closed"
 
 
 @pytest.mark.parametrize("cut", [30, -2], ids=["within the head", "within the body"])
@@ -104,4 +104,4 @@
     caller.send(request[cut:])
     world.attempt().reply(answer())
     assert caller.status == 200
-    assert caller.wire.closed
+    assert caller.transport.closed
--- a/gladedrum/forward/tests/test_grey_target.py
+++ b/gladedrum/forward/tests/test_grey_target.py
@@ -15,14 +15,14 @@
 
 
 def name_of(side):
-    return f"t{side.place[1] - 9000}"
+    return f"t{side.address[1] - 9000}"
 
 
 def serve(world, hanging, requests=30, pause_s=0.1):
     """Send requests in turn; return how many went to the hanging targets."""
     hung = 0
     for _ in range(requests):
-        world.caller().ask(b"body")
+        world.caller().send_request(b"body")
         side = world.attempt()
         if name_of(side) in hanging:
             hung += 1
@@ -46,7 +46,7 @@
 def test_an_overdue_request_is_not_abandoned():
     world = plain_world()
     caller = world.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     side = world.attempt()
     world.run(1.0)
     assert not side.closed
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("took_s", [0.25, 0.6, 1.0])
 def test_a_late_answer_reduces_distrust(took_s):
     world = plain_world()
-    world.caller().ask(b"body")
+    world.caller().send_request(b"body")
     side = world.attempt()
     world.run(took_s)
     now_s = world.net.seconds()
@@ -77,7 +77,7 @@
     world = plain_world()
     notes = []
     world.ctx.port.tell_work = notes.append
-    world.caller().ask(b"body")
+    world.caller().send_request(b"body")
     side = world.attempt()
     world.run(0.3)
     peer = plain_world()
@@ -89,7 +89,7 @@
 
 def test_an_overdue_stream_does_not_cause_distrust():
     world = plain_world(streaming=True, resumable=True, max_targets=2)
-    world.caller().ask(b"body")
+    world.caller().send_request(b"body")
     side = world.attempt()
     world.run(0.3)
     assert not world.view.state(name_of(side)).distrust_at(world.net.seconds())
--- a/gladedrum/forward/tests/test_hedging.py
+++ b/gladedrum/forward/tests/test_hedging.py
@@ -47,7 +47,7 @@
     """Start streams; return their callers and the targets' ends, each with one event sent."""
     callers = [world.caller() for _ in range(count)]
     for caller in callers:
-        caller.ask(b"body", extra=SHORT)
+        caller.send_request(b"body", extra=SHORT)
     world.run()
     targets = list(world.net.opened)
     for target in targets:
@@ -60,9 +60,9 @@
     exhaust_retry_budget(world)
     (caller,), (target,) = start_streams(world, 1)
     wait_with_reports(world, 1.8)
-    assert not caller.wire.closed
+    assert not caller.transport.closed
     target.reply(chunk(event(2)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
     assert world.outcomes == [Completed()]
 
 
@@ -76,7 +76,7 @@
         target.reply(chunk(event(2)) + chunk(b""))
     world.run()
     assert world.outcomes == [Completed()] * 9
-    assert all(caller.got.count(b"data: e") == 2 for caller in callers)
+    assert all(caller.received.count(b"data: e") == 2 for caller in callers)
     now_s = world.net.seconds()
     assert all(world.view.state(name).distrust_at(now_s) == 0 for name in world.targets.entries)
 
@@ -85,11 +85,11 @@
     world = World(repeatable=True, max_targets=2, time_limit_s=4.0)
     exhaust_retry_budget(world)
     caller = world.caller()
-    caller.ask()
+    caller.send_request()
     target = world.attempt()
     world.run(2.0)
     target.reply(answer(200, b"late"))
-    assert caller.got.endswith(b"late")
+    assert caller.received.endswith(b"late")
     assert world.outcomes == [Completed()]
 
 
@@ -119,8 +119,8 @@
     assert lead.closed == "aborted"
     assert len(distrusted(world)) == 1
     hedge.reply(chunk(event(3)) + chunk(b""))
-    assert caller.got.count(b"data: e") == 3
-    assert b"seal-2" not in caller.got
+    assert caller.received.count(b"data: e") == 3
+    assert b"seal-2" not in caller.received
     assert world.outcomes == [Completed()]
     assert placed_work(world) == 0
 
@@ -130,7 +130,7 @@
     lead.reply(chunk(event(2)))
     assert hedge.closed == "aborted"
     lead.reply(chunk(event(3)) + chunk(b""))
-    assert caller.got.count(b"data: e") == 3
+    assert caller.received.count(b"data: e") == 3
     assert world.outcomes == [Completed()]
     assert distrusted(world) == []
     assert placed_work(world) == 0
@@ -142,7 +142,7 @@
     assert not lead.closed
     lead.reply(chunk(event(2)))
     assert hedge.closed == "aborted"
-    assert caller.got.count(b"data: e") == 2
+    assert caller.received.count(b"data: e") == 2
 
 
 def test_a_refused_or_broken_hedge_does_not_affect_the_lead():
@@ -151,7 +151,7 @@
         fail(hedge)
         assert not lead.closed
         lead.reply(chunk(event(2)) + chunk(b""))
-        assert caller.got.endswith(b"0\r\n\r\n")
+        assert caller.received.endswith(b"0\r\n\r\n")
 
 
 def test_a_running_hedge_replaces_a_broken_lead_without_another_retry():
@@ -159,7 +159,7 @@
     exhaust_retry_budget(world)
     lead.disconnect()
     hedge.reply(stream_head() + chunk(event(2)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
     assert len(world.net.opened) == 2
 
 
@@ -181,7 +181,7 @@
     world.run(0.6)
     assert len(prepared) == 1
     world.attempt().reply(stream_head() + chunk(event(2)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
     assert len(world.net.opened) == 2
 
 
@@ -213,7 +213,7 @@
 def test_the_time_limit_cancels_lead_and_hedge():
     world, caller, lead, hedge = hedged_stream(streaming_world(time_limit_s=1.8))
     world.run(0.4)
-    assert caller.wire.closed == "aborted"
+    assert caller.transport.closed == "aborted"
     assert (lead.closed, hedge.closed) == ("aborted", "aborted")
     assert placed_work(world) == 0
 
@@ -261,11 +261,11 @@
     for first in (0, 1):
         world = World(repeatable=True, max_targets=2, time_limit_s=4.0)
         caller = world.caller()
-        caller.ask()
+        caller.send_request()
         world.run(1.0)
         assert len(world.net.opened) == 2
         world.net.opened[first].reply(answer(200, b"whole"))
-        assert caller.got.endswith(b"whole")
+        assert caller.received.endswith(b"whole")
         assert world.net.opened[1 - first].closed == "aborted"
         assert world.outcomes == [Completed()]
 
@@ -273,23 +273,23 @@
 def test_a_failed_attempt_is_not_reported_while_another_runs():
     world = World(repeatable=True, max_targets=2, time_limit_s=4.0)
     caller = world.caller()
-    caller.ask()
+    caller.send_request()
     world.run(1.0)
     lead, hedge = world.net.opened
     lead.reply(answer(500, b"failed"))
-    assert not caller.got
+    assert not caller.received
     hedge.reply(answer(200, b"whole"))
-    assert caller.got.endswith(b"whole")
+    assert caller.received.endswith(b"whole")
 
 
 @pytest.mark.parametrize(("writers", "hedges"), [(0, 1), (7, 0)])
 def test_a_stream_is_not_hedged_where_that_delays_other_streams_more(writers, hedges):
     world = streaming_world(targets=2, engine=EngineTraits(), objective_s=1.0, time_limit_s=8.0)
     caller = world.caller()
-    caller.ask(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
     lead = world.attempt()
     lead.reply(stream_head() + chunk(event(1)))
-    silent = next(name for name, e in world.targets.entries.items() if e.port == lead.place[1])
+    silent = next(name for name, e in world.targets.entries.items() if e.port == lead.address[1])
     other = next(name for name in world.targets.entries if name != silent)
     now_s = world.net.seconds()
     world.view.note_placed(WorkPlan("long", (silent,), 200_000, 100), now_s)
--- a/gladedrum/forward/tests/test_hedging_review.py
+++ b/gladedrum/forward/tests/test_hedging_edge_cases.py
@@ -33,7 +33,7 @@
 
 def send_and_connect(world):
     caller = world.caller()
-    caller.ask()
+    caller.send_request()
     return caller, world.attempt()
 
 
@@ -51,9 +51,9 @@
     world = World(streaming=True, resumable=False)
     caller, target = send_and_connect(world)
     target.reply(stream_head() + chunk(event(1)))
-    assert caller.got.count(b"data: e") == 1
+    assert caller.received.count(b"data: e") == 1
     target.reply(chunk(event(2)))
-    assert caller.got.count(b"data: e") == 2
+    assert caller.received.count(b"data: e") == 2
 
 
 def test_a_pause_in_a_long_plain_answer_causes_no_busy_loop(monkeypatch):
@@ -81,8 +81,8 @@
     target.reply(answer(500, LONG))
     world.run(0.1)
     assert len(world.net.opened) == 1
-    assert caller.got.endswith(LONG)
-    assert not caller.wire.closed
+    assert caller.received.endswith(LONG)
+    assert not caller.transport.closed
 
 
 def test_a_broken_long_answer_is_not_joined_with_another_attempt():
@@ -93,8 +93,8 @@
     world.run(0.1)
     for other in world.net.opened[1:]:
         other.reply(stream_head() + chunk(b"second run") + chunk(b""))
-    assert b"second run" not in caller.got
-    assert caller.wire.closed == "aborted"
+    assert b"second run" not in caller.received
+    assert caller.transport.closed == "aborted"
 
 
 def test_a_long_answer_broken_during_hedge_placement_is_not_joined_with_the_hedge():
@@ -107,8 +107,8 @@
     world.run(0.6)
     for other in world.net.opened[1:]:
         other.reply(stream_head() + chunk(b"second run") + chunk(b""))
-    assert b"second run" not in caller.got
-    assert caller.wire.closed == "aborted"
+    assert b"second run" not in caller.received
+    assert caller.transport.closed == "aborted"
     assert placed_work(world) == 0
 
 
@@ -118,7 +118,7 @@
     for _ in range(35):
         world.run(0.1)
         for hedge in world.net.opened[1:]:
-            if not hedge.closed and hedge.wire.pop_written():
+            if not hedge.closed and hedge.transport.pop_written():
                 hedge.reply(not_run())
     assert not lead.closed
     assert world.ctx.pool.opened <= request_task.MAX_ATTEMPTS
@@ -130,7 +130,7 @@
     wait_with_reports(world, 1.8)
     assert len(world.net.opened) == 1
     lead.reply(chunk(event(2)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
 
 
 def test_no_retry_is_charged_when_the_caller_disconnects_during_placement():
@@ -175,7 +175,7 @@
     """Guards against distrust of an engine whose prefill of another prompt explains the silence."""
     world = streaming_world(engine=EngineTraits(), objective_s=1.0, time_limit_s=8.0)
     _callers, (lead,) = start_streams(world, 1)
-    silent = next(name for name, e in world.targets.entries.items() if e.port == lead.place[1])
+    silent = next(name for name, e in world.targets.entries.items() if e.port == lead.address[1])
     long = WorkPlan("long", (silent,), 200_000, 100)
     world.view.note_placed(long, world.net.seconds())
     reads_until_s = world.view.state(silent).ledger.reads_until_s(EngineTraits())
@@ -205,7 +205,7 @@
 def test_a_hedge_that_is_not_sent_does_not_count_as_a_long_prompt():
     world = streaming_world(targets=2, engine=EngineTraits(), time_limit_s=8.0)
     caller = world.caller()
-    caller.ask(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
     world.attempt().reply(stream_head() + chunk(event(1)))
     exhaust_retry_budget(world)
     before = len(world.view.long_prompt_arrivals._arrivals)
--- a/gladedrum/forward/tests/test_leaving_answers.py
+++ b/gladedrum/forward/tests/test_leaving_statements.py
@@ -5,7 +5,7 @@
 
 import itertools
 
-from gladedrum.forward.tests.saying import PlainFleet, StatementFleet
+from gladedrum.forward.tests.statement_fleet import PlainFleet, StatementFleet
 
 
 def test_a_leaving_target_gets_no_requests_after_the_bound():
@@ -42,7 +42,7 @@
         fleet.send_random_requests(per_s=20, for_s=2.0)
         fleet.advance(1.0)
         sent = len(fleet.sent)
-        caller = fleet.ask(b"late", "box2")
+        caller = fleet.send_request(b"late", "box2")
         assert caller.status == 503
         assert float(_header(caller, b"retry-after")) >= 1.0
         fleet.send_random_requests(per_s=20, for_s=3.0)
@@ -62,12 +62,12 @@
 
 def test_running_streams_finish_on_a_leaving_target():
     fleet = StatementFleet(targets=1, boxes=1)
-    caller = fleet.ask(b"begun")
+    caller = fleet.send_request(b"begun")
     fleet.advance(0.08)
     fleet.announce_leaving(min(fleet.engines))
     fleet.advance(1.0)
-    assert b"data: e5" in caller.got
-    assert fleet.ask(b"new").status == 503
+    assert b"data: e5" in caller.received
+    assert fleet.send_request(b"new").status == 503
 
 
 def test_a_restarted_target_gets_requests_again():
@@ -75,11 +75,11 @@
     engine = next(iter(fleet.engines.values()))
     fleet.announce_leaving(engine.port)
     fleet.advance(2.0)
-    assert fleet.ask(b"early", "box2").status == 503
+    assert fleet.send_request(b"early", "box2").status == 503
     del fleet.leaving[engine.port]
     fleet.crash(engine)
     fleet.advance(5.0)
-    callers = [fleet.ask(b"again", box) for box in fleet.boxes]
+    callers = [fleet.send_request(b"again", box) for box in fleet.boxes]
     fleet.advance(1.0)
     assert [caller.status for caller in callers] == [200, 200, 200]
 
@@ -93,5 +93,5 @@
 
 
 def _header(caller, name: bytes) -> bytes:
-    head, _, _ = caller.got.partition(b"\r\n\r\n")
+    head, _, _ = caller.received.partition(b"\r\n\r\n")
     return dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n")[1:])[name]
--- a/gladedrum/forward/tests/test_dead_run.py
+++ b/gladedrum/forward/tests/test_lost_run.py
@@ -23,7 +23,7 @@
 
 def send_long_prompt(world):
     caller = world.caller()
-    caller.ask(b"body", extra=b"%s: 15000\r\n" % wire.DEADLINE_MS + LONG)
+    caller.send_request(b"body", extra=b"%s: 15000\r\n" % wire.DEADLINE_MS + LONG)
     return caller, requests(world)[0]
 
 
@@ -60,7 +60,7 @@
     sent = requests(world)
     assert len(sent) == 2
     sent[1].reply(stream_head(seal=b"seal-2") + chunk(event(1)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
     assert lead.closed
 
 
@@ -70,7 +70,7 @@
     wait(world, 6.0, used=150_000)
     assert len(requests(world)) == 1
     lead.reply(stream_head() + chunk(event(1)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
 
 
 def test_a_short_prompt_lost_by_an_idle_engine_is_sent_elsewhere():
@@ -78,7 +78,7 @@
         targets=3, engine=EngineTraits(), streaming=True, resumable=True, max_targets=2,
         objective_s=0.3, pause_objective_s=0.2,
     )  # fmt: skip
-    world.caller().ask(b"body", extra=b"%s: 3000,200\r\n" % wire.TOKENS_IN_OUT)
+    world.caller().send_request(b"body", extra=b"%s: 3000,200\r\n" % wire.TOKENS_IN_OUT)
     wait(world, 1.2, used=0, running=0)
     assert len(requests(world)) == 2
 
@@ -108,7 +108,7 @@
 def test_a_box_that_receives_reports_requests_none():
     world = long_world()
     _caller, lead = send_long_prompt(world)
-    name = f"t{lead.place[1] - 9000}"
+    name = f"t{lead.address[1] - 9000}"
     for _ in range(60):
         report = TargetReport(0, 1, 150_000, 232_000, 1.0, ())
         world.view.note_report(name, report, world.net.seconds())
@@ -119,7 +119,7 @@
 def test_received_reports_reveal_a_lost_run():
     world = long_world()
     _caller, lead = send_long_prompt(world)
-    name = f"t{lead.place[1] - 9000}"
+    name = f"t{lead.address[1] - 9000}"
     for _ in range(50):
         report = TargetReport(0, 1, 2_000, 232_000, 1.0, ())
         world.view.note_report(name, report, world.net.seconds())
--- a/gladedrum/forward/tests/test_hostile.py
+++ b/gladedrum/forward/tests/test_malformed_input.py
@@ -29,7 +29,7 @@
     caller = world.caller()
     data = b"".join(pieces)
     for begin in range(0, len(data), max(1, len(data) // step)):
-        if caller.wire.closed:
+        if caller.transport.closed:
             break
         caller.send(data[begin : begin + max(1, len(data) // step)])
     world.run(1.0, step_s=0.25)
@@ -38,7 +38,7 @@
         assert sum(line.startswith(b"content-length:") for line in lines) <= 1
         assert not any(line.startswith(b"transfer-encoding:") for line in lines)
     world.run(20.0, step_s=0.5)
-    assert caller.wire.closed
+    assert caller.transport.closed
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     caller.send(request_bytes)
     world.run(0.1)
     assert caller.status >= 400
-    assert caller.wire.closed
+    assert caller.transport.closed
     assert not world.net.opened
 
 
@@ -75,7 +75,7 @@
 def test_arbitrary_target_bytes_never_reach_a_caller_as_a_success(data, whole_first, orderly):
     world = World()
     caller = world.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     target = world.attempt()
     if whole_first:
         target.reply(answer(200, b"fine"))
@@ -85,7 +85,7 @@
         target.disconnect(orderly)
     world.run(0.5)
     if whole_first:
-        assert caller.got.endswith(b"fine")
+        assert caller.received.endswith(b"fine")
     else:
         assert caller.status >= 500 or data.startswith(b"HTTP/1.")
 
--- a/gladedrum/forward/tests/test_named_rates.py
+++ b/gladedrum/forward/tests/test_rate_statements.py
@@ -5,7 +5,7 @@
 
 import itertools
 
-from gladedrum.forward.tests.limiting import RateLimitingFleet, is_report
+from gladedrum.forward.tests.rate_limiting_fleet import RateLimitingFleet, is_report
 
 LIMITED = 9001
 
--- a/gladedrum/forward/tests/test_named_rates_fleet.py
+++ b/gladedrum/forward/tests/test_rate_statements_fleet.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gladedrum.forward.tests.limiting import RateLimitingFleet, is_report
+from gladedrum.forward.tests.rate_limiting_fleet import RateLimitingFleet, is_report
 from gladedrum.forward.tests.support import World, answer
 from gladedrum.outcome import NotRun
 from gladedrum.placing.choosing import Choice
@@ -137,8 +137,8 @@
 def test_of_two_overlapping_answers_the_lower_rate_applies():
     world = World(targets=1)
     first, second = world.caller(), world.caller()
-    first.ask(b"a")
-    second.ask(b"b")
+    first.send_request(b"a")
+    second.send_request(b"b")
     early, late = world.net.opened[0], world.net.opened[1]
     late.reply(answer(extra=RATE_LINE % b"1"))
     early.reply(answer())
@@ -148,7 +148,7 @@
 def test_a_rate_in_a_misdirected_answer_is_ignored():
     world = World(targets=1)
     caller = world.caller()
-    caller.ask(b"a")
+    caller.send_request(b"a")
     world.attempt().reply(answer(421, b"no", extra=RATE_LINE % b"1"))
     world.run(0.5)
     assert world.view.state("t1").rate is None
@@ -158,20 +158,20 @@
 def test_callers_get_retry_after_at_once_when_all_rates_are_used_up(route):
     world = World(targets=1, **route)
     first = world.caller()
-    first.ask(b"a")
+    first.send_request(b"a")
     world.attempt().reply(answer(extra=RATE_LINE % b"0.5"))
     assert first.status == 200
     second = world.caller()
-    second.ask(b"b")
+    second.send_request(b"b")
     world.run(0.05)
     assert second.status == 503
     assert isinstance(world.outcomes[-1], NotRun)
-    wait_s = float(second.got.lower().split(b"retry-after: ")[1].split(b"\r\n")[0])
+    wait_s = float(second.received.lower().split(b"retry-after: ")[1].split(b"\r\n")[0])
     assert 1.9 <= wait_s <= 3.1
     world.run(wait_s)
     world.confirm_configuration()
     third = world.caller()
-    third.ask(b"c")
+    third.send_request(b"c")
     world.attempt().reply(answer(extra=RATE_LINE % b"0.5"))
     assert third.status == 200
 
@@ -187,7 +187,7 @@
     for tokens in (100_000, 400_000):
         for _ in range(5):
             caller = world.caller()
-            caller.ask(b"long", extra=b"x-gladedrum-token-usage: %d,100\r\n" % tokens)
+            caller.send_request(b"long", extra=b"x-gladedrum-token-usage: %d,100\r\n" % tokens)
     choices = [choice for choice in chosen if isinstance(choice, Choice)]
     assert any(choice.helpers for choice in choices)
     assert not any(entry.name == "t1" for c in choices for entry in c.helpers)
--- a/gladedrum/forward/tests/test_reservations.py
+++ b/gladedrum/forward/tests/test_reservations.py
@@ -29,7 +29,7 @@
             body = part[part.find(b"{") : part.find(b"}") + 1]
             if body:
                 row = json.loads(body)
-                found.append((row["op"], row["id"], side.place, side))
+                found.append((row["op"], row["id"], side.address, side))
     return found
 
 
@@ -45,7 +45,7 @@
     """Return a world with a long prompt whose memory is reserved; its caller and engine's end."""
     world = long_world()
     caller = world.caller()
-    caller.ask(b"body", extra=LONG)
+    caller.send_request(b"body", extra=LONG)
     world.run()
     grant_all(world)
     (sent,) = requests(world)
@@ -59,7 +59,7 @@
 def test_a_prompt_too_large_for_one_engine_reserves_memory_at_helpers_first():
     world = long_world()
     caller = world.caller()
-    caller.ask(b"body", extra=LONG)
+    caller.send_request(b"body", extra=LONG)
     world.run()
     assert not requests(world)
     assert {op for op, *_ in orders(world)} == {"reserve"}
@@ -93,7 +93,7 @@
 def test_one_refused_reservation_releases_all_and_nothing_is_sent():
     world = long_world()
     caller = world.caller()
-    caller.ask(b"body", extra=LONG)
+    caller.send_request(b"body", extra=LONG)
     world.run()
     grant_all(world, status=409)
     assert not requests(world)
@@ -105,7 +105,7 @@
 
 def test_a_reservation_expires_within_the_free_bound():
     world = long_world()
-    world.caller().ask(b"body", extra=LONG)
+    world.caller().send_request(b"body", extra=LONG)
     world.run()
     holds = [json.loads(s.sent[s.sent.find(b"{") :])["holdMs"] for _, _, _, s in orders(world)]
     assert max(holds) < world.ctx.free_bound_s * 1000
@@ -125,7 +125,7 @@
 def test_a_reservation_is_renewed_often_enough_to_lose_two_renewals():
     """Guards against expiry: an engine aborts a request whose reservation expires."""
     world = long_world()
-    world.caller().ask(b"body", extra=LONG)
+    world.caller().send_request(b"body", extra=LONG)
     world.run()
     grant_all(world)
     assert requests(world)
@@ -159,7 +159,7 @@
         for side, count in collections.Counter(side for *_, side in orders(world)).items():
             if count > answered[side]:
                 answered[side] = count
-                renewed_s[side.place].append(step * 0.05)
+                renewed_s[side.address].append(step * 0.05)
                 side.reply(answer(200, b"{}", request_id=b""))
     assert {op for op, *_ in orders(world)} == {"reserve"}
     for times in renewed_s.values():
--- a/gladedrum/forward/tests/test_reborn.py
+++ b/gladedrum/forward/tests/test_target_restart.py
@@ -19,7 +19,7 @@
 
 
 def target_name(side):
-    return f"t{side.place[1] - 9000}"
+    return f"t{side.address[1] - 9000}"
 
 
 def stream_world(**route):
@@ -29,7 +29,7 @@
 
 def start_stream(world):
     caller = world.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     side = world.attempt()
     side.reply(stream_head() + chunk(event(1)))
     return caller, side
@@ -48,8 +48,8 @@
     assert other is not side
     assert b"ast-event-id: 2" in other.sent.lower()
     other.reply(stream_head(seal=b"seal-2") + chunk(event(3)) + chunk(b""))
-    assert [caller.got.count(b"data: e%d" % n) for n in (1, 2, 3)] == [1, 1, 1]
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert [caller.received.count(b"data: e%d" % n) for n in (1, 2, 3)] == [1, 1, 1]
+    assert caller.received.endswith(b"0\r\n\r\n")
 
 
 def test_a_stream_that_continues_after_a_reported_restart_is_kept():
@@ -61,7 +61,7 @@
     report_start(world, NEW, target_name(side))
     world.run(0.2)
     side.reply(chunk(event(2)) + chunk(b""))
-    assert caller.got.endswith(b"0\r\n\r\n")
+    assert caller.received.endswith(b"0\r\n\r\n")
 
 
 def test_a_stream_sent_just_before_a_reported_restart_is_not_moved():
@@ -78,7 +78,7 @@
     world = World()
     report_start(world, OLD)
     caller = world.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     side = world.attempt()
     world.run(1.2, step_s=0.1)
     report_start(world, NEW, target_name(side))
@@ -92,7 +92,7 @@
     world = long_world()
     report_start(world, OLD)
     caller = world.caller()
-    caller.ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
+    caller.send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     grant_all(world)
     assert requests(world)
@@ -110,7 +110,7 @@
     """The answer to a reservation states which start holds the memory, not the list of targets."""
     world = long_world()
     report_start(world, OLD)
-    world.caller().ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
+    world.caller().send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     for op, _name, _place, side in orders(world):
         assert op == "reserve"
@@ -125,7 +125,7 @@
 def test_memory_reserved_after_a_restart_by_a_renewal_is_released():
     world = long_world()
     report_start(world, OLD)
-    world.caller().ask(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
+    world.caller().send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     grant_all(world)
     helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -84,9 +84,9 @@
 
 def test_a_decider_places_the_request_and_records_it():
     outside, inside, _wire = outside_and_inside_box()
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     target = outside.attempt()
-    name = f"t{target.place[1] - 9000}"
+    name = f"t{target.address[1] - 9000}"
     assert len(inside.view.state(name).ledger.rows) == 1
     assert len(outside.view.state(name).ledger.rows) == 1
 
@@ -94,11 +94,11 @@
 def test_silent_deciders_cost_a_bounded_wait_and_then_the_box_decides_alone():
     outside, _inside, wire = outside_and_inside_box()
     wire.lost = True
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(ANSWER_TIMEOUT_S * MAX_MEMBERS_ASKED + 0.01, step_s=0.01)
     assert len(outside.net.opened) == 1
     before = wire.sent
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(ANSWER_TIMEOUT_S + 0.01, step_s=0.01)
     assert len(outside.net.opened) == 2
     assert wire.sent - before <= 2
@@ -108,9 +108,9 @@
     outside, inside, _wire = outside_and_inside_box()
     outside.list_targets(2, leaving=("t1",))
     inside.list_targets(1)
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(0.2)
-    assert [side.place[1] for side in outside.net.opened] == [9002]
+    assert [side.address[1] for side in outside.net.opened] == [9002]
 
 
 def test_long_prompts_are_placed_by_one_box_and_short_ones_by_each_of_a_small_fleet():
@@ -120,10 +120,10 @@
     outside.ctx.placer._coordinators.ranked_members = lambda: ["m1"]
     outside.ctx.placer._is_cold = lambda: False
     size = b"%s: %d,200\r\n"
-    outside.caller().ask(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 5_000))
+    outside.caller().send_request(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 5_000))
     outside.run()
     assert wire.sent == 0
-    outside.caller().ask(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 130_000))
+    outside.caller().send_request(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 130_000))
     outside.run()
     assert wire.sent == 2
     assert sum(len(inside.view.state(name).ledger.rows) for name in ("t1", "t2")) > 0
@@ -151,7 +151,7 @@
     """Guards against members with an empty ledger that send all work to the same engines."""
     outside, inside, wire = outside_and_inside_box()
     inside.ctx.placer._is_cold = lambda: True
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(0.01, step_s=0.001)
     # Both members asked are cold; the first is asked again and then decides.
     assert wire.sent == 2 * (MAX_MEMBERS_ASKED + 1)
@@ -173,10 +173,10 @@
 
     wire.write = write_and_restart
     caller = outside.caller()
-    caller.ask(b"body")
+    caller.send_request(b"body")
     outside.run(0.1, step_s=0.01)
     assert len(outside.net.opened) == 1
-    assert caller.wire.closed == ""
+    assert caller.transport.closed == ""
 
 
 def test_a_cold_member_places_requests_for_plain_services_itself():
@@ -185,7 +185,7 @@
     world.ctx.placer._coordinators.members = lambda: ["other", "me"]
     world.ctx.placer._coordinators.address = lambda _name: ("10.0.1.1", 2)
     assert world.ctx.placer._is_cold()
-    world.caller().ask()
+    world.caller().send_request()
     assert len(world.net.opened) == 1
 
 
@@ -204,8 +204,8 @@
     for index in range(8):
         world = World(targets=8, engine=EngineTraits(), streaming=True, resumable=True)
         world.ctx.chooser._box = f"box-{index}"
-        world.caller().ask(b"body")
-        taken.add(world.attempt().place)
+        world.caller().send_request(b"body")
+        taken.add(world.attempt().address)
     assert len(taken) >= 4
 
 
@@ -216,7 +216,7 @@
         inside.view.note_placed(plan, inside.net.seconds())
         inside.view.state(name).ledger.tokens = 0.0
     caller = outside.caller()
-    caller.ask(extra=b"%s: 5000,100\r\n" % platform_wire.TOKENS_IN_OUT)
+    caller.send_request(extra=b"%s: 5000,100\r\n" % platform_wire.TOKENS_IN_OUT)
     assert caller.status == 503
     assert outside.outcomes[0].retry_after_s > 1.0
     assert not outside.net.opened
@@ -234,7 +234,7 @@
             deliver(data, address)
 
     wire.write = hold
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(ANSWER_TIMEOUT_S * MAX_MEMBERS_ASKED + 0.1, step_s=0.01)
     wire.write = deliver
 
@@ -272,7 +272,7 @@
     outside, inside, _wire = outside_and_inside_box()
     outside.list_targets(0)
     outside.port._peers = lambda: [("10.0.1.1", 2)]
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(0.05, step_s=0.01)
     assert rows_of(inside) == 0
 
@@ -280,7 +280,7 @@
 def test_an_overloaded_member_answers_busy_at_once():
     outside, inside, _wire = outside_and_inside_box()
     inside.ctx.placer._questions = WaitingQuestions(-1.0)
-    outside.caller().ask(b"body")
+    outside.caller().send_request(b"body")
     outside.run(0.005, step_s=0.001)
     assert len(outside.net.opened) == 1
     assert rows_of(inside) == 0
