--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -23,7 +23,7 @@
 from gladedrum.daemon.box import BoxProcess  # noqa: F401 - so that all of a box is imported
 from gladedrum.peers import Membership, PeerHandler, PeerLink, listen_for_peers, record_of_job
 from gladedrum.platform import Box, Directory, StoredItem, Target
-from gladedrum.platform.directory import _parsed
+from gladedrum.platform.directory import _parse_rows
 from gladedrum.scheduling import (
     EngineTraits,
     Grant,
@@ -118,7 +118,7 @@
         listed = _boxes(boxes)
 
         def change(raw=raw, listed=listed) -> None:
-            parsed = tuple(_parsed(Target, json.loads(raw)["targets"]))
+            parsed = tuple(_parse_rows(Target, json.loads(raw)["targets"]))
             members = Membership(listed[0])
             members.update(Directory(tuple(listed), parsed))
             for target in parsed:
--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -13,7 +13,7 @@
 
 from ..errors import KVUnavailableError
 from ..platform.codecs import MalformedError
-from ..platform.feeds import ConfigurationFeed, ConfigurationNews
+from ..platform.feeds import ConfigurationFeed, ConfigurationUpdate
 from ..platform.store import HistoryGoneError, Revision
 from ..routes import RouteTable
 from ..utils import sleep
@@ -199,7 +199,7 @@
         distrusted_s = self._distrusted_until_s - now_s
         return min(WATCH_S, distrusted_s) if distrusted_s > 0 else WATCH_S
 
-    def _apply_news(self, news: ConfigurationNews, sent_s: float) -> None:
+    def _apply_news(self, news: ConfigurationUpdate, sent_s: float) -> None:
         self._revision = news.revision
         self._newer_version_known = False
         before = self.table
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -146,7 +146,7 @@
             reactor, TargetFeed(store), settings.leave_bound_s, on_gone, self.pace, on_listed
         )
 
-        store.on_era.append(self._on_store_restored)
+        store.on_restored.append(self._on_store_restored)
 
     def _on_store_restored(self, before: int, era: int) -> None:
         """Notify every follower that the store was restored from an earlier copy."""
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -41,7 +41,7 @@
     def __init__(self, store: "VirtualStore"):
         self._store = store
         self.era = 0
-        self.on_era = []
+        self.on_restored = []
 
     def __getattr__(self, name: str):
         call = getattr(self._store, name)
@@ -58,7 +58,7 @@
     def _note_era(self) -> None:
         before, self.era = self.era, self._store.era
         if 0 < before < self.era:
-            for tell in self.on_era:
+            for tell in self.on_restored:
                 tell(before, self.era)
 
 
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -28,7 +28,7 @@
 
     def run_part(self, part, store):
         """Run a part of a box and notify it of restores, as a box does."""
-        store.on_era.append(lambda _before, _era: part.note_store_restored())
+        store.on_restored.append(lambda _before, _era: part.note_store_restored())
         self.running.append(start(part.run()))
         return part
 
--- a/gladedrum/connections/calls.py
+++ b/gladedrum/connections/calls.py
@@ -8,7 +8,7 @@
 from ..errors import TargetBrokenError, TargetLeftAloneError, TargetNotListeningError
 from ..fleet import TargetEntry
 from ..platform.orders import TargetCall
-from .messages import AnswerBroken, AnswerData, AnswerEnd, AnswerHead, Mailbox, TimeIsUp
+from .messages import AnswerBroken, AnswerData, AnswerEnd, AnswerHead, Mailbox, TimedOut
 from .target_conn import RequestHead
 from .target_pool import TargetPool
 
@@ -66,7 +66,7 @@
                     raise TargetNotListeningError(f"{entry.name}: {reason}")
                 case AnswerBroken(reason=reason):
                     raise TargetBrokenError(f"{entry.name}: {reason}")
-                case TimeIsUp():
+                case TimedOut():
                     raise TargetBrokenError(f"{entry.name}: no reply within {timeout_s} s")
     finally:
-        exchange.give_up()
+        exchange.cancel()
--- a/gladedrum/connections/messages.py
+++ b/gladedrum/connections/messages.py
@@ -16,7 +16,7 @@
     "Mailbox",
     "Message",
     "SearchEnded",
-    "TimeIsUp",
+    "TimedOut",
 ]
 
 
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TimeIsUp:
+class TimedOut:
     """No message arrived before the deadline."""
 
 
@@ -113,7 +113,7 @@
     """The search for another target has finished; the task that started it holds the result."""
 
 
-Message = AnswerHead | AnswerData | AnswerEnd | AnswerBroken | CallerGone | SearchEnded | TimeIsUp
+Message = AnswerHead | AnswerData | AnswerEnd | AnswerBroken | CallerGone | SearchEnded | TimedOut
 
 
 @dataclass(slots=True)
@@ -138,13 +138,13 @@
             waiting.callback(None)
 
     async def get(self, deadline_s: float) -> Message:
-        """Return the next message, or `TimeIsUp` if none arrives before `deadline_s`."""
+        """Return the next message, or `TimedOut` if none arrives before `deadline_s`."""
         if not self._messages:
             timeout_s = deadline_s - self.clock.seconds()
             if timeout_s <= 0:
-                return TimeIsUp()
+                return TimedOut()
             self._waiting = waiting = defer.Deferred()
-            call = self.clock.callLater(timeout_s, self.put, TimeIsUp())
+            call = self.clock.callLater(timeout_s, self.put, TimedOut())
             try:
                 await waiting
             finally:
--- a/gladedrum/connections/target_conn.py
+++ b/gladedrum/connections/target_conn.py
@@ -14,7 +14,7 @@
 import h11
 from twisted.internet import error, protocol
 
-from ..platform.heads import answer_marks
+from ..platform.headers import parse_answer_headers
 from ..platform.statements import Statements, parse_statements
 from .messages import AnswerBroken, AnswerData, AnswerEnd, AnswerHead, Message
 
@@ -92,7 +92,7 @@
             self.over = True
         self._deliver(message)
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Cancel the exchange and abort its connection, which signals the target to stop."""
         if self.over:
             return
@@ -142,7 +142,7 @@
 
     def __init__(self, pool: Pool, address: tuple[str, int]):
         self._pool = pool
-        self._place = address
+        self._address = address
         self._http = h11.Connection(h11.CLIENT, _MAX_HEAD_BYTES)
         self._exchange: Exchange | None = None
         self._head: RequestHead | None = None
@@ -192,14 +192,14 @@
         if self._exchange is None:
             # Unsolicited bytes: nothing else on this connection can be trusted.
             self._reusable = False
-            self._pool.forget(self._place, self)
+            self._pool.forget(self._address, self)
             self.transport.abortConnection()
             return
         self._parse(data)
 
     def connectionLost(self, reason=None) -> None:
         """Complete or fail the current exchange."""
-        self._pool.forget(self._place, self)
+        self._pool.forget(self._address, self)
         if self._exchange is None:
             return
         # An orderly close of the connection completes a response without a length.
@@ -238,7 +238,7 @@
 
     def _handle_head(self, exchange: Exchange, event: h11.Response) -> None:
         headers = [(bytes(name), bytes(value)) for name, value in event.headers]
-        metadata = answer_marks(event.status_code, headers)
+        metadata = parse_answer_headers(event.status_code, headers)
         self._reusable = self._reusable and not metadata.closes
         if metadata.idle_s is not None:
             self.idle_limit_s = max(0.0, metadata.idle_s - IDLE_MARGIN_S)
@@ -281,7 +281,7 @@
             # A slow caller may have paused reading during this call. Its handler cannot resume a
             # finished exchange, and the next response would never be read.
             self.transport.resumeProducing()
-            self._pool.keep(self._place, self)
+            self._pool.keep(self._address, self)
         else:
             self.transport.loseConnection()
         exchange.deliver(AnswerEnd(exchange.attempt))
@@ -289,7 +289,7 @@
     def _fail(self, reason: str, sent: bool) -> None:
         exchange, self._exchange = self._exchange, None
         self._reusable = False
-        self._pool.forget(self._place, self)
+        self._pool.forget(self._address, self)
         self.transport.abortConnection()
         if exchange is not None:
             exchange.deliver(AnswerBroken(exchange.attempt, reason, sent))
--- a/gladedrum/connections/target_pool.py
+++ b/gladedrum/connections/target_pool.py
@@ -22,7 +22,7 @@
 from .messages import AnswerBroken, Message
 from .target_conn import Exchange, RequestHead, TargetConnection
 
-__all__ = ["NotNowError", "TargetGate", "TargetPool"]
+__all__ = ["NoLongerAllowedError", "TargetGate", "TargetPool"]
 
 CONNECT_TIMEOUT_S = 0.8
 """The timeout for connecting to a target, in seconds; a healthy one accepts in milliseconds."""
@@ -34,7 +34,7 @@
 """The maximum number of idle connections to one target."""
 
 
-class NotNowError(GladedrumError):
+class NoLongerAllowedError(GladedrumError):
     """A condition for sending a request no longer holds."""
 
 
@@ -44,7 +44,7 @@
     def authorize(self, target: str, kind: CallKind) -> int:
         """Return the target's known start time; called right before each send.
 
-        Raises `NotNowError` if the target must not get this kind of message.
+        Raises `NoLongerAllowedError` if the target must not get this kind of message.
         """
 
     def note_answer(self, target: str, born: int, statements: Statements, sent_s: float) -> None:
@@ -108,7 +108,7 @@
             The kind of message.
         make_head : callable
             Called right before the bytes are sent, since the process may have been suspended after
-            the decision; returns the head or raises `NotNowError`.
+            the decision; returns the head or raises `NoLongerAllowedError`.
         body : bytes
             The request's body.
         request_id : str
@@ -169,7 +169,7 @@
         try:
             head = make_head()
             exchange.born = self.gate.authorize(exchange.target, kind)
-        except NotNowError as exc:
+        except NoLongerAllowedError as exc:
             conn.abort()
             # Delivered in a later turn of the reactor: the caller of `begin` has no exchange yet.
             broken = AnswerBroken(exchange.attempt, str(exc), sent=False, withheld=True)
@@ -195,12 +195,12 @@
         if conn in self._idle.get(address, ()):
             self._idle[address].remove(conn)
 
-    def forget_place(self, address: tuple[str, int]) -> None:
+    def close_idle_to(self, address: tuple[str, int]) -> None:
         """Close the idle connections to a target that was removed."""
         for conn in self._idle.pop(address, []):
             conn.abort()
 
-    def connected(self, repeatable: bool) -> set[tuple[str, int]]:
+    def idle_addresses(self, repeatable: bool) -> set[tuple[str, int]]:
         """Return the addresses with an idle connection that a request may use now."""
         now_s = self._reactor.seconds()
         return {
--- a/gladedrum/connections/tests/test_pool.py
+++ b/gladedrum/connections/tests/test_pool.py
@@ -33,14 +33,14 @@
     caller.send_request(b"body")
     side = world.attempt()
     side.reply(stream_head() + chunk(event(1)))
-    world.ctx.pool.forget_place(side.address)
+    world.ctx.pool.close_idle_to(side.address)
     others = [world.caller() for _ in range(MAX_IDLE_PER_TARGET + 2)]
     for other in others:
         other.send_request(b"body")
     for used in world.net.opened[1:]:
         used.reply(answer())
     world.list_targets(1, leaving=("t1",))
-    world.ctx.pool.forget_place(side.address)
+    world.ctx.pool.close_idle_to(side.address)
     assert not side.closed
     side.reply(chunk(event(2)) + chunk(b""))
     assert caller.received.endswith(chunk(event(2)) + chunk(b""))
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -6,7 +6,7 @@
 from ..beliefs.configuration import ConfigurationFollower
 from ..connections.messages import CallerRequest
 from ..outcome import Failed, NotRun
-from ..platform.heads import CallerMarks, caller_marks
+from ..platform.headers import CallerMetadata, parse_caller_headers
 from ..routes import Organisation, Route
 
 __all__ = ["Admission", "Admitted"]
@@ -29,13 +29,13 @@
         The route of the request.
     organisation : Organisation or None
         The owner of its API key, None for an anonymous request.
-    marks : CallerMarks
+    metadata : CallerMetadata
         What its headers ask for.
     """
 
     route: Route
     organisation: Organisation | None
-    marks: CallerMarks
+    metadata: CallerMetadata
 
     @property
     def urgency(self) -> int:
@@ -77,23 +77,23 @@
         table = self._configuration.table
         if table is None:
             return NotRun("no configuration is known yet", NO_CONFIGURATION_RETRY_S)
-        marks = caller_marks(req.headers)
+        metadata = parse_caller_headers(req.headers)
         host = dict(req.headers).get(b"host", b"").decode("latin-1")
         route = table.find(host, req.target.decode("latin-1"))
         if route is None:
             return self._refuse_unknown("no route leads there", HTTPStatus.NOT_FOUND)
-        if marks.key is None:
+        if metadata.key is None:
             if route.anonymous:
-                return Admitted(route, None, marks)
+                return Admitted(route, None, metadata)
             return Failed("an API key is needed", HTTPStatus.UNAUTHORIZED)
         if not self.keys_are_trusted:
             age_s = self._configuration.age_s
             reason = f"the configuration is {age_s:.1f} s old, too old to trust a key"
             return NotRun(reason, NO_CONFIGURATION_RETRY_S)
-        organisation = table.organisations.get(marks.key)
+        organisation = table.organisations.get(metadata.key)
         if organisation is None:
             return self._refuse_unknown("the API key is not known", HTTPStatus.UNAUTHORIZED)
-        return Admitted(route, organisation, marks)
+        return Admitted(route, organisation, metadata)
 
     def _refuse_unknown(self, reason: str, status: HTTPStatus) -> Failed | NotRun:
         """Refuse a request whose route or key is not in the configuration.
--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -15,7 +15,7 @@
 from .. import gossip
 from ..connections.messages import CallerRequest, Mailbox
 from ..connections.target_conn import Exchange, RequestHead
-from ..connections.target_pool import NotNowError
+from ..connections.target_pool import NoLongerAllowedError
 from ..fleet import TargetReport
 from ..placing.choosing import (
     AllTargetsClosed,
@@ -29,7 +29,7 @@
 from ..placing.fleet_view import START_KNOWN_WITHIN_S
 from ..placing.repeat_pool import Grant
 from ..placing.work_plan import WorkPlan, note_from_plan, work_id_of
-from ..platform.heads import SentMarks, forward_headers
+from ..platform.headers import ForwardMetadata, forward_headers
 from ..platform.orders import CallKind
 from .admission import Admitted
 from .attempt_ends import AllLeave, AttemptEnd, OverBudget, Refused
@@ -221,7 +221,7 @@
         if self._overdue is not None and self._overdue.active():
             self._overdue.cancel()
         if self.exchange is not None:
-            self.exchange.give_up()
+            self.exchange.cancel()
         elif self.retry_grant is not None:
             self.ctx.repeats.give_back(self.service, self.retry_grant)
         if self.reservations is not None:
@@ -332,7 +332,7 @@
             CallKind.REQUEST,
             lambda: self._make_head(attempt),
             fwd.req.body,
-            fwd.admitted.marks.request_id,
+            fwd.admitted.metadata.request_id,
             fwd.admitted.route.idempotent,
             fwd.mailbox.put,
         )
@@ -445,7 +445,7 @@
 
     def _connected_targets(self, demand: Demand) -> frozenset[str]:
         """Return the targets of the service that have an idle connection."""
-        places = self._ctx.pool.connected(self._fwd.admitted.route.idempotent)
+        places = self._ctx.pool.idle_addresses(self._fwd.admitted.route.idempotent)
         if not places:
             return frozenset()
         usable = self._ctx.targets.usable(demand.service.name)
@@ -456,10 +456,10 @@
         fwd, admitted = self._fwd, self._fwd.admitted
         now_s = self._ctx.clock.seconds()
         if now_s >= fwd.deadline_s:
-            raise NotNowError("its time is up")
+            raise NoLongerAllowedError("its time is up")
         if admitted.organisation is not None and not self._ctx.admission.keys_are_trusted:
-            raise NotNowError("the configuration is too old to trust its key")
-        marks = SentMarks(
+            raise NoLongerAllowedError("the configuration is too old to trust its key")
+        metadata = ForwardMetadata(
             target=attempt.target,
             time_left_s=fwd.deadline_s - now_s,
             organisation=admitted.organisation.name if admitted.organisation else None,
@@ -468,7 +468,7 @@
             helpers=_helper_addresses(attempt),
         )
         body_length = len(fwd.req.body) if fwd.req.has_body else None
-        headers = forward_headers(fwd.req.headers, body_length, marks)
+        headers = forward_headers(fwd.req.headers, body_length, metadata)
         return RequestHead(fwd.req.method, fwd.req.target, headers)
 
     def _make_relay(self, attempt: Attempt) -> Relay:
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -112,7 +112,7 @@
         self._record = CondemnedRecord(
             reactor, store, self._beliefs.registry, self._suspicion, self._is_reader
         )
-        store.on_era.append(self._note_era)
+        store.on_restored.append(self._note_era)
         self._reports = self._make_reports()
         chooser = Chooser(self.name, reactor, self._targets, self._view)
         self._placer = self._make_placer(chooser)
@@ -348,7 +348,7 @@
         if not entry.leaving:
             self._view.note_gone(entry.name, entry.born, self._reactor.seconds())
         self._view.forget(entry.name)
-        self._pool.forget_place((entry.host, entry.port))
+        self._pool.close_idle_to((entry.host, entry.port))
 
     def _traits_of(self, target: str) -> EngineTraits:
         entry = self._targets.entries.get(target)
@@ -362,7 +362,7 @@
         self._targets.note_start(name, self._view.state(name).born)
         entry = self._targets.entries.get(name)
         if entry is not None:
-            self._pool.forget_place((entry.host, entry.port))
+            self._pool.close_idle_to((entry.host, entry.port))
         for task in tuple(self._in_flight):
             task.on_target_restarted(name)
 
--- a/gladedrum/forward/caller_answer.py
+++ b/gladedrum/forward/caller_answer.py
@@ -4,7 +4,7 @@
 from ..connections.events import Event
 from ..connections.messages import AnswerHead, CallerRequest
 from ..outcome import Failed, NotRun, Outcome, Unknown, http_status
-from ..platform.heads import answer_headers, caller_marks, refusal_headers
+from ..platform.headers import answer_headers, parse_caller_headers, refusal_headers
 
 __all__ = ["CallerAnswer", "request_id_of"]
 
@@ -82,4 +82,4 @@
 
 def request_id_of(req: CallerRequest) -> str:
     """Return the id that the caller gave its request, empty if there is none."""
-    return caller_marks(req.headers).request_id
+    return parse_caller_headers(req.headers).request_id
--- a/gladedrum/forward/hedging.py
+++ b/gladedrum/forward/hedging.py
@@ -12,7 +12,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from .. import gossip
-from ..connections.messages import CallerGone, Mailbox, Message, SearchEnded, TimeIsUp
+from ..connections.messages import CallerGone, Mailbox, Message, SearchEnded, TimedOut
 from ..utils import start
 from .attempt_ends import AttemptEnd, Done, Overtaken, Refused
 from .attempts import Attempt
@@ -92,7 +92,7 @@
         """
         self._caller_reads = on
         self._hedge_wanted = self._hedge_wanted and on
-        self.mailbox.put(TimeIsUp())
+        self.mailbox.put(TimedOut())
 
     def on_target_restarted(self, name: str) -> None:
         """Search for a hedge at once if an attempt ran on a target that has restarted."""
@@ -101,7 +101,7 @@
         for attempt in lost:
             attempt.relay.next_check_s = min(attempt.relay.next_check_s, now_s)
         if lost:
-            self.mailbox.put(TimeIsUp())
+            self.mailbox.put(TimedOut())
 
     async def run(self) -> AttemptEnd:
         """Return how the last attempt ended; raises `CallerGoneError` if the caller has left."""
@@ -115,7 +115,7 @@
         match message:
             case CallerGone():
                 raise CallerGoneError
-            case TimeIsUp():
+            case TimedOut():
                 return self._check_silence(self.clock.seconds())
             case SearchEnded():
                 return self._handle_search_result()
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -19,7 +19,7 @@
     Message,
 )
 from ..outcome import Completed
-from ..platform.heads import answer_marks
+from ..platform.headers import parse_answer_headers
 from ..routes import Route
 from ..scheduling.ledger import (
     CALLER_WAIT_OBJECTIVE_FACTOR,
@@ -285,10 +285,12 @@
 
 
 def _refusal(head: AnswerHead) -> Refused | None:
-    marks = answer_marks(head.status, head.headers)
-    if not marks.not_run:
+    metadata = parse_answer_headers(head.status, head.headers)
+    if not metadata.not_run:
         return None
-    return Refused(f"status {head.status} from the target", at_target=True, at_fault=marks.at_fault)
+    return Refused(
+        f"status {head.status} from the target", at_target=True, at_fault=metadata.at_fault
+    )
 
 
 def caller_timeout_s(route: Route) -> float:
--- a/gladedrum/forward/request_log.py
+++ b/gladedrum/forward/request_log.py
@@ -37,7 +37,7 @@
     _log.info(
         "request placed",
         extra={
-            "request_id": admitted.marks.request_id,
+            "request_id": admitted.metadata.request_id,
             "target": choice.main.name,
             "helpers": len(choice.helpers),
             "helper_names": [entry.name for entry in choice.helpers],
@@ -80,7 +80,7 @@
     _log.info(
         "try failed",
         extra={
-            "request_id": admitted.marks.request_id,
+            "request_id": admitted.metadata.request_id,
             "request_digest": digest.hex(),
             "target": choice.main.name,
             "end": type(end).__name__,
@@ -99,7 +99,7 @@
     _log.info(
         "no hedge",
         extra={
-            "request_id": admitted.marks.request_id,
+            "request_id": admitted.metadata.request_id,
             "target": target,
             "end": type(end).__name__,
             "reason": getattr(end, "reason", ""),
--- a/gladedrum/forward/request_task.py
+++ b/gladedrum/forward/request_task.py
@@ -18,7 +18,7 @@
 from ..outcome import Failed, NotRun, Outcome, Unknown
 from ..placing.choosing import AllTargetsClosed, CannotServeInTime, Choice, CondemnedRequest, Demand
 from ..placing.reports import read_report
-from ..platform.heads import CallerMarks
+from ..platform.headers import CallerMetadata
 from ..routes import Route
 from ..scheduling.engine_model import EngineTraits
 from ..scheduling.expected_loss import worth_of
@@ -156,7 +156,7 @@
         if not isinstance(admitted, Admitted):
             return self._answer.refuse(admitted)
         self._admitted = admitted
-        left_s = admitted.marks.time_left_s
+        left_s = admitted.metadata.time_left_s
         limit_s = min(
             admitted.route.time_limit_s, DEFAULT_TIME_LIMIT_S if left_s is None else left_s
         )
@@ -195,14 +195,14 @@
         return replace(demand, digest=self._digest)
 
     def _make_demand(self, admitted: Admitted) -> Demand:
-        route, marks = admitted.route, admitted.marks
+        route, metadata = admitted.route, admitted.metadata
         shares = route.services
         weights = [max(0.0, share.weight) for share in shares]
         name = self._ctx.rng.choices(shares, weights if any(weights) else None)[0].service
         service = self._ctx.service_of(name)
         engine = service.engine
-        prompt = marks.prompt_tokens if engine is not None else 0
-        answer = _likely_answer_tokens(marks, engine) if engine is not None else 0
+        prompt = metadata.prompt_tokens if engine is not None else 0
+        answer = _likely_answer_tokens(metadata, engine) if engine is not None else 0
         first_due_s = self._req.arrived_s + route.objective_s
         owner = admitted.organisation.name if admitted.organisation else ""
         return Demand(
@@ -365,7 +365,7 @@
         silent.update_from_report(report)
         if silent.appears_lost:
             extra = {
-                "request_id": self._admitted.marks.request_id,
+                "request_id": self._admitted.metadata.request_id,
                 "target": silent.target,
                 "prompt_tokens": silent.plan.prompt_tokens,
                 "memory_used": None if report is None else report.memory_used,
@@ -486,9 +486,9 @@
     _log.error("call to a target failed", extra={"reason": failure.getTraceback()})
 
 
-def _likely_answer_tokens(marks: CallerMarks, engine: EngineTraits) -> int:
-    likely = marks.answer_guess or min(marks.answer_tokens, int(engine.usual_answer))
-    return max(1, min(likely, marks.answer_tokens or likely))
+def _likely_answer_tokens(metadata: CallerMetadata, engine: EngineTraits) -> int:
+    likely = metadata.answer_length_hint or min(metadata.answer_tokens, int(engine.usual_answer))
+    return max(1, min(likely, metadata.answer_tokens or likely))
 
 
 def _helper_at_fault(choice: Choice, end: AttemptEnd) -> str | None:
--- a/gladedrum/forward/reservations.py
+++ b/gladedrum/forward/reservations.py
@@ -14,7 +14,7 @@
 from ..connections.target_pool import TargetPool
 from ..errors import TargetBrokenError
 from ..fleet import TargetEntry
-from ..platform.codecs import decode_born
+from ..platform.codecs import decode_start_time
 from ..platform.orders import CallKind, release_call, reserve_call
 from ..utils import sleep, start
 
@@ -135,10 +135,10 @@
         return answer
 
     async def _reserve_first(self, entry: TargetEntry) -> bool:
-        answer = await self._reserve(entry, CallKind.SET_ASIDE)
+        answer = await self._reserve(entry, CallKind.RESERVE)
         if answer is not None:
             # The answer names the start that holds the memory; the target list may lag behind.
-            self._starts[entry.name] = decode_born(answer.body) or self._starts[entry.name]
+            self._starts[entry.name] = decode_start_time(answer.body) or self._starts[entry.name]
         return answer is not None
 
     async def _reserve_again(self, entry: TargetEntry) -> bool:
@@ -146,7 +146,7 @@
         answer = await self._reserve(entry, CallKind.RENEW)
         if answer is None:
             return False
-        if 0 < self._starts[entry.name] < decode_born(answer.body):
+        if 0 < self._starts[entry.name] < decode_start_time(answer.body):
             self._superseded.add(entry.name)
             start(self._release(entry)).addErrback(_log_failure)
         return True
--- a/gladedrum/forward/tests/test_hedging.py
+++ b/gladedrum/forward/tests/test_hedging.py
@@ -21,7 +21,7 @@
 from gladedrum.scheduling.engine_model import EngineTraits
 from gladedrum.utils import sleep
 
-SHORT = b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT
+SHORT = b"%s: 100,200\r\n" % wire.TOKEN_USAGE
 
 
 def streaming_world(**route) -> World:
@@ -286,7 +286,7 @@
 def test_a_stream_is_not_hedged_where_that_delays_other_streams_more(writers, hedges):
     world = streaming_world(targets=2, engine=EngineTraits(), objective_s=1.0, time_limit_s=8.0)
     caller = world.caller()
-    caller.send_request(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKEN_USAGE)
     lead = world.attempt()
     lead.reply(stream_head() + chunk(event(1)))
     silent = next(name for name, e in world.targets.entries.items() if e.port == lead.address[1])
--- a/gladedrum/forward/tests/test_hedging_edge_cases.py
+++ b/gladedrum/forward/tests/test_hedging_edge_cases.py
@@ -205,7 +205,7 @@
 def test_a_hedge_that_is_not_sent_does_not_count_as_a_long_prompt():
     world = streaming_world(targets=2, engine=EngineTraits(), time_limit_s=8.0)
     caller = world.caller()
-    caller.send_request(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 60000,200\r\n" % wire.TOKEN_USAGE)
     world.attempt().reply(stream_head() + chunk(event(1)))
     exhaust_retry_budget(world)
     before = len(world.view.long_prompt_arrivals._arrivals)
--- a/gladedrum/forward/tests/test_life.py
+++ b/gladedrum/forward/tests/test_life.py
@@ -204,7 +204,7 @@
         plan = WorkPlan(f"full-{name}", (name,), 231_000, 1_000)
         world.view.note_placed(plan, world.net.seconds())
     caller = world.caller()
-    caller.send_request(extra=b"%s: 5000,100\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(extra=b"%s: 5000,100\r\n" % wire.TOKEN_USAGE)
     caller.disconnect()
     for name in world.targets.entries:
         world.view.state(name).ledger.rows.clear()
@@ -331,7 +331,7 @@
 def test_resumable_stream_moves_from_a_silent_target_to_another():
     world = streaming_world()
     caller = world.caller()
-    caller.send_request(b"body", extra=b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 100,200\r\n" % wire.TOKEN_USAGE)
     first = world.attempt()
     world.run(1.9)
     sent = [side for side in world.net.opened if b"/x/2f" in side.sent]
@@ -354,7 +354,7 @@
     """Guards against moving streams just before a long prefill of their engine ends."""
     world = streaming_world()
     caller = world.caller()
-    caller.send_request(b"body", extra=b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 100,200\r\n" % wire.TOKEN_USAGE)
     target = world.attempt()
     target.reply(stream_head() + chunk(event(1)))
     report = TargetReport(0, 1, 100, 232_000, 1.0, ())
@@ -373,7 +373,7 @@
 def test_stream_is_hedged_sooner_when_its_target_stops_reporting():
     world = streaming_world()
     caller = world.caller()
-    caller.send_request(b"body", extra=b"%s: 100,200\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 100,200\r\n" % wire.TOKEN_USAGE)
     target = world.attempt()
     target.reply(stream_head() + chunk(event(1)))
     for name in ("t1", "t2", "t3"):
@@ -406,7 +406,7 @@
 def test_a_helper_at_fault_is_distrusted_instead_of_the_answering_engine():
     world = streaming_world(objective_s=1.0)
     caller = world.caller()
-    caller.send_request(b"body", extra=b"%s: 190000,300\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(b"body", extra=b"%s: 190000,300\r\n" % wire.TOKEN_USAGE)
     target = world.attempt()
     main = target.sent.partition(wire.EXPECTED_TARGET + b": ")[2].partition(b"\r\n")[0].decode()
     helpers = target.sent.partition(wire.HELPERS + b": ")[2].partition(b"\r\n")[0].split(b",")
@@ -445,7 +445,7 @@
     world = streaming_world(engine=EngineTraits(memory_tokens=10_000_000))
     occupy_all_targets(world)
     caller = world.caller()
-    caller.send_request(extra=b"%s: 5000,100\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(extra=b"%s: 5000,100\r\n" % wire.TOKEN_USAGE)
     assert caller.status == 503
     assert not world.net.opened
     (outcome,) = world.outcomes
@@ -456,7 +456,7 @@
 def test_request_that_may_have_run_is_not_refused_when_targets_are_busy():
     world = streaming_world(engine=EngineTraits(memory_tokens=10_000_000))
     caller = world.caller()
-    caller.send_request(extra=b"%s: 5000,100\r\n" % wire.TOKENS_IN_OUT)
+    caller.send_request(extra=b"%s: 5000,100\r\n" % wire.TOKEN_USAGE)
     occupy_all_targets(world)
     world.attempt().disconnect()
     world.run(0.2)
--- a/gladedrum/forward/tests/test_lost_run.py
+++ b/gladedrum/forward/tests/test_lost_run.py
@@ -11,7 +11,7 @@
 from gladedrum.platform import wire
 from gladedrum.scheduling.engine_model import EngineTraits
 
-LONG = b"%s: 150000,200\r\n" % wire.TOKENS_IN_OUT
+LONG = b"%s: 150000,200\r\n" % wire.TOKEN_USAGE
 
 
 def long_world():
@@ -78,7 +78,7 @@
         targets=3, engine=EngineTraits(), streaming=True, resumable=True, max_targets=2,
         objective_s=0.3, pause_objective_s=0.2,
     )  # fmt: skip
-    world.caller().send_request(b"body", extra=b"%s: 3000,200\r\n" % wire.TOKENS_IN_OUT)
+    world.caller().send_request(b"body", extra=b"%s: 3000,200\r\n" % wire.TOKEN_USAGE)
     wait(world, 1.2, used=0, running=0)
     assert len(requests(world)) == 2
 
--- a/gladedrum/forward/tests/test_reservations.py
+++ b/gladedrum/forward/tests/test_reservations.py
@@ -11,7 +11,7 @@
 from gladedrum.platform import wire
 from gladedrum.scheduling.engine_model import EngineTraits
 
-LONG = b"%s: 300000,100\r\n" % wire.TOKENS_IN_OUT
+LONG = b"%s: 300000,100\r\n" % wire.TOKEN_USAGE
 
 
 def long_world():
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -18,17 +18,17 @@
 from twisted.internet.interfaces import IReactorTime
 
 from ..beliefs.target_list import TargetListFollower
-from ..connections.target_pool import NotNowError
+from ..connections.target_pool import NoLongerAllowedError
 from ..gossip.port import GossipPort
 from ..gossip.wire.ttypes import Gossip, LeavingNote
 from ..platform.orders import CallKind
-from ..platform.statements import OddStatement, Statements
+from ..platform.statements import MalformedStatement, Statements
 from .fleet_view import FleetView
 from .target_rates import ShownRate, TargetRates
 
 __all__ = ["ShownStatements", "TargetStatements"]
 
-_NEW_WORK = (CallKind.REQUEST, CallKind.SET_ASIDE)
+_NEW_WORK = (CallKind.REQUEST, CallKind.RESERVE)
 
 _log = logging.getLogger(__name__)
 
@@ -107,13 +107,13 @@
 
         Raises
         ------
-        NotNowError
+        NoLongerAllowedError
             If the call must not be sent now.
         """
         if kind in _NEW_WORK and not self._targets.accepts_requests(target):
-            raise NotNowError("the target is leaving")
+            raise NoLongerAllowedError("the target is leaving")
         if kind is not CallKind.RENEW and self.rest_s(target):
-            raise NotNowError("the target wants rest")
+            raise NoLongerAllowedError("the target wants rest")
         if target not in self._targets.entries:
             return 0
         if kind is not CallKind.REQUEST:
@@ -137,7 +137,7 @@
             return
         if 0 < born < self._view.state(target).born:
             return
-        self._note_odd(target, said.odd)
+        self._note_odd(target, said.malformed)
         self._rates.note_rate(target, said.rate_per_s, sent_s)
         if said.leaves:
             self._note_leaving(target, self._view.state(target).born, "")
@@ -195,7 +195,7 @@
             ],
         )
 
-    def _note_odd(self, target: str, odd: tuple[OddStatement, ...]) -> None:
+    def _note_odd(self, target: str, odd: tuple[MalformedStatement, ...]) -> None:
         """Log a statement that can't be parsed, once until its text changes."""
         for kind, text in odd:
             if self._odd.get((target, kind)) != text:
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -120,10 +120,10 @@
     outside.ctx.placer._coordinators.ranked_members = lambda: ["m1"]
     outside.ctx.placer._is_cold = lambda: False
     size = b"%s: %d,200\r\n"
-    outside.caller().send_request(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 5_000))
+    outside.caller().send_request(b"body", extra=size % (platform_wire.TOKEN_USAGE, 5_000))
     outside.run()
     assert wire.sent == 0
-    outside.caller().send_request(b"body", extra=size % (platform_wire.TOKENS_IN_OUT, 130_000))
+    outside.caller().send_request(b"body", extra=size % (platform_wire.TOKEN_USAGE, 130_000))
     outside.run()
     assert wire.sent == 2
     assert sum(len(inside.view.state(name).ledger.rows) for name in ("t1", "t2")) > 0
@@ -216,7 +216,7 @@
         inside.view.note_placed(plan, inside.net.seconds())
         inside.view.state(name).ledger.tokens = 0.0
     caller = outside.caller()
-    caller.send_request(extra=b"%s: 5000,100\r\n" % platform_wire.TOKENS_IN_OUT)
+    caller.send_request(extra=b"%s: 5000,100\r\n" % platform_wire.TOKEN_USAGE)
     assert caller.status == 503
     assert outside.outcomes[0].retry_after_s > 1.0
     assert not outside.net.opened
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from gladedrum.connections.target_pool import NotNowError
+from gladedrum.connections.target_pool import NoLongerAllowedError
 from gladedrum.forward.tests.support import World
 from gladedrum.gossip.wire.ttypes import Gossip, LeavingNote
 from gladedrum.placing.fleet_view import MAX_REST_S
 from gladedrum.platform.orders import CallKind
-from gladedrum.platform.statements import OddStatement, Statements
+from gladedrum.platform.statements import MalformedStatement, Statements
 
 OLD, NEW = 1_000, 2_000
 LEAVES, RESTS = Statements(leaves=True), Statements(rest_s=3.0)
@@ -30,7 +30,7 @@
     for kind in CallKind:
         try:
             assert world.statements.authorize(target, kind) == world.view.state(target).born
-        except NotNowError:
+        except NoLongerAllowedError:
             continue
         kinds.add(kind)
     return kinds
@@ -43,7 +43,7 @@
 
 def test_a_leaving_target_gets_only_calls_for_work_that_has_begun(world):
     answer_with(world, LEAVES)
-    assert allowed_kinds(world) == {CallKind.REPORT, CallKind.RENEW, CallKind.FREE}
+    assert allowed_kinds(world) == {CallKind.REPORT, CallKind.RENEW, CallKind.RELEASE}
     assert allowed_kinds(world, "t2") == set(CallKind)
 
 
@@ -59,8 +59,8 @@
 
 def test_an_unlisted_target_gets_all_calls_but_new_work(world):
     answer_with(world, RESTS, target="t9")
-    assert world.statements.authorize("t9", CallKind.FREE) == 0
-    with pytest.raises(NotNowError, match="leaving"):
+    assert world.statements.authorize("t9", CallKind.RELEASE) == 0
+    with pytest.raises(NoLongerAllowedError, match="leaving"):
         world.statements.authorize("t9", CallKind.REQUEST)
 
 
@@ -145,7 +145,10 @@
 
 
 def test_an_unreadable_statement_is_logged_once_until_it_changes(world, caplog):
-    odd = [Statements(odd=(OddStatement("rest_s", text),)) for text in ("soon", "soon", "later")]
+    odd = [
+        Statements(malformed=(MalformedStatement("rest_s", text),))
+        for text in ("soon", "soon", "later")
+    ]
     for said in odd:
         answer_with(world, said)
     lines = [row for row in caplog.records if row.message == "unreadable statement from target"]
--- a/gladedrum/platform/codecs.py
+++ b/gladedrum/platform/codecs.py
@@ -1,7 +1,7 @@
 """Decoders for the operator's configuration and for entries, reports and replies of targets.
 
 All raise `MalformedError` for bytes that do not follow the platform's formats, except
-`decode_born`. The `msgspec` structs mirror the JSON; callers get this package's own types.
+`decode_start_time`. The `msgspec` structs mirror the JSON; callers get this package's own types.
 """
 
 import ipaddress
@@ -16,7 +16,7 @@
 from ..scheduling.engine_model import EngineTraits
 
 __all__ = ["MalformedError", "decode_configuration", "decode_report", "decode_target"]
-__all__ += ["decode_born"]
+__all__ += ["decode_start_time"]
 
 _MS_PER_S = 1000.0
 
@@ -201,7 +201,7 @@
     )
 
 
-def decode_born(raw: bytes) -> int:
+def decode_start_time(raw: bytes) -> int:
     """Return the process start time in a target's reply to an order, 0 if it has none."""
     try:
         return _decode(_order_reply, raw).born
--- a/gladedrum/platform/directory.py
+++ b/gladedrum/platform/directory.py
@@ -169,8 +169,8 @@
         boxes, boxes_tag = await self._fetch_rows("boxes")
         targets, targets_tag = await self._fetch_rows("targets")
         self._last = Directory(
-            self._last.boxes if boxes is None else tuple(_parsed(Box, boxes)),
-            self._last.targets if targets is None else tuple(_parsed(Target, targets)),
+            self._last.boxes if boxes is None else tuple(_parse_rows(Box, boxes)),
+            self._last.targets if targets is None else tuple(_parse_rows(Target, targets)),
         )
         # Store the tags only with their rows: a tag alone would hide the rows until they change.
         self._tags = {"boxes": boxes_tag, "targets": targets_tag}
@@ -202,7 +202,7 @@
         raise DirectoryUnavailableError(f"the list of {kind} is malformed: {exc!r}") from exc
 
 
-def _parsed(row_type: type[R], rows: list[dict[str, Any]]) -> Iterator[R]:
+def _parse_rows(row_type: type[R], rows: list[dict[str, Any]]) -> Iterator[R]:
     for row in rows:
         fields = _known_fields(row_type, row)
         if "models" in fields:
--- a/gladedrum/platform/feeds.py
+++ b/gladedrum/platform/feeds.py
@@ -9,7 +9,7 @@
 from .codecs import MalformedError, decode_configuration, decode_target
 from .store import PROBE_TIMEOUT_S, StoreClient, StoredItem
 
-__all__ = ["ConfigurationFeed", "ConfigurationNews", "TargetFeed"]
+__all__ = ["ConfigurationFeed", "ConfigurationUpdate", "TargetFeed"]
 
 MAX_MALFORMED_LOGGED = 20
 """The maximum number of malformed entries that one read logs one by one."""
@@ -17,7 +17,7 @@
 _log = logging.getLogger(__name__)
 
 
-class ConfigurationNews(NamedTuple):
+class ConfigurationUpdate(NamedTuple):
     """The result of a read or watch.
 
     Parameters
@@ -41,7 +41,7 @@
     def __init__(self, store: StoreClient):
         self._store = store
 
-    async def read(self, probe: bool = False) -> ConfigurationNews:
+    async def read(self, probe: bool = False) -> ConfigurationUpdate:
         """Read the current configuration; raises `KVUnavailableError` or `MalformedError`.
 
         `probe` sets the shorter timeout for a store that has not responded recently.
@@ -49,13 +49,13 @@
         limit_s = PROBE_TIMEOUT_S if probe else None
         listing = await self._store.list(wire.CONFIGURATION_PREFIX, timeout_s=limit_s)
         raw = _newest(listing.items)
-        return ConfigurationNews(self.decode(raw) if raw else None, listing.revision, raw)
+        return ConfigurationUpdate(self.decode(raw) if raw else None, listing.revision, raw)
 
-    async def watch(self, after_revision: int, wait_s: float) -> ConfigurationNews:
+    async def watch(self, after_revision: int, wait_s: float) -> ConfigurationUpdate:
         """Wait for a newer configuration; raises as `read` does, or `HistoryGoneError`."""
         result = await self._store.watch(wire.CONFIGURATION_PREFIX, after_revision, wait_s)
         raw = _newest(result.changes)
-        return ConfigurationNews(self.decode(raw) if raw else None, result.revision, raw)
+        return ConfigurationUpdate(self.decode(raw) if raw else None, result.revision, raw)
 
     def decode(self, raw: bytes) -> RouteTable:
         """Decode a configuration; raises `MalformedError`."""
--- a/gladedrum/platform/heads.py
+++ b/gladedrum/platform/headers.py
@@ -10,7 +10,13 @@
 
 from . import wire
 
-__all__ = ["AnswerMetadata", "CallerMarks", "SentMarks", "answer_marks", "caller_marks"]
+__all__ = [
+    "AnswerMetadata",
+    "CallerMetadata",
+    "ForwardMetadata",
+    "parse_answer_headers",
+    "parse_caller_headers",
+]
 __all__ += ["answer_headers", "forward_headers", "refusal_headers"]
 
 Headers = Iterable[tuple[bytes, bytes]]
@@ -28,7 +34,7 @@
 """Headers of a caller that are not forwarded, or replaced by the box's own."""
 
 
-class CallerMarks(NamedTuple):
+class CallerMetadata(NamedTuple):
     """Metadata of a caller's request, from its headers.
 
     Parameters
@@ -41,7 +47,7 @@
         The API key; None without the header, empty if the header holds no key.
     prompt_tokens, answer_tokens : int
         The length of the prompt and the maximum length of the answer; 0 if unknown.
-    answer_guess : int
+    answer_length_hint : int
         The caller's estimate of the answer's length, in tokens; 0 if unknown.
     last_event_id : bytes or None
         The event after which an interrupted stream resumes.
@@ -52,12 +58,12 @@
     key: str | None
     prompt_tokens: int
     answer_tokens: int
-    answer_guess: int
+    answer_length_hint: int
     last_event_id: bytes | None
 
 
 @dataclass(frozen=True, slots=True)
-class SentMarks:
+class ForwardMetadata:
     """Metadata that a box adds to the caller's headers for the target.
 
     Parameters
@@ -109,50 +115,50 @@
     idle_s: float | None
 
 
-def caller_marks(headers: Headers) -> CallerMarks:
+def parse_caller_headers(headers: Headers) -> CallerMetadata:
     """Extract the metadata from a caller's headers; ignores malformed values."""
     found = dict(headers)
-    prompt, _, answer = found.get(wire.TOKENS_IN_OUT, b"").partition(b",")
+    prompt, _, answer = found.get(wire.TOKEN_USAGE, b"").partition(b",")
     deadline_ms = found.get(wire.DEADLINE_MS)
-    return CallerMarks(
+    return CallerMetadata(
         request_id=found.get(wire.REQUEST_ID, b"").decode("latin-1"),
         time_left_s=None if deadline_ms is None else _parse_int(deadline_ms) / 1000,
         key=_api_key(found.get(wire.AUTHORIZATION)),
         prompt_tokens=_parse_int(prompt),
         answer_tokens=_parse_int(answer),
-        answer_guess=_parse_int(found.get(wire.LENGTH_HINT, b"")),
+        answer_length_hint=_parse_int(found.get(wire.LENGTH_HINT, b"")),
         last_event_id=found.get(wire.LAST_EVENT_ID),
     )
 
 
 def forward_headers(
-    headers: Sequence[tuple[bytes, bytes]], body_length: int | None, marks: SentMarks
+    headers: Sequence[tuple[bytes, bytes]], body_length: int | None, metadata: ForwardMetadata
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers for a target: the caller's, with the metadata in `marks`.
+    """Return the headers for a target: the caller's, with the metadata in `metadata`.
 
     `body_length` is None if the caller's headers announced no body.
     """
     dropped = _HOP_BY_HOP | _REPLACED | _named_by_connection(headers)
-    if marks.last_event_id is not None:
+    if metadata.last_event_id is not None:
         dropped = dropped | {wire.LAST_EVENT_ID}
     sent = [(name, value) for name, value in headers if name.lower() not in dropped]
-    sent.append((wire.EXPECTED_TARGET, marks.target.encode()))
+    sent.append((wire.EXPECTED_TARGET, metadata.target.encode()))
     if body_length is not None:
         sent.append((b"content-length", b"%d" % body_length))
-    if marks.time_left_s is not None:
-        sent.append((wire.DEADLINE_MS, b"%d" % max(1, int(marks.time_left_s * 1000))))
-    if marks.organisation is not None:
-        sent.append((wire.ORGANISATION, marks.organisation.encode()))
-    if marks.urgency != SentMarks.urgency:
-        sent.append((wire.PRIORITY, b"%d" % min(9, max(0, marks.urgency))))
-    if marks.last_event_id is not None:
-        sent.append((wire.LAST_EVENT_ID, marks.last_event_id))
-    if marks.helpers:
-        sent.append((wire.HELPERS, ",".join(marks.helpers).encode()))
+    if metadata.time_left_s is not None:
+        sent.append((wire.DEADLINE_MS, b"%d" % max(1, int(metadata.time_left_s * 1000))))
+    if metadata.organisation is not None:
+        sent.append((wire.ORGANISATION, metadata.organisation.encode()))
+    if metadata.urgency != ForwardMetadata.urgency:
+        sent.append((wire.PRIORITY, b"%d" % min(9, max(0, metadata.urgency))))
+    if metadata.last_event_id is not None:
+        sent.append((wire.LAST_EVENT_ID, metadata.last_event_id))
+    if metadata.helpers:
+        sent.append((wire.HELPERS, ",".join(metadata.helpers).encode()))
     return sent
 
 
-def answer_marks(status: int, headers: Headers) -> AnswerMetadata:
+def parse_answer_headers(status: int, headers: Headers) -> AnswerMetadata:
     """Extract the metadata from a target's response."""
     found = dict(headers)
     not_run = status == 421 or (status in (400, 429, 503) and wire.NOT_RUN in found)
--- a/gladedrum/platform/orders.py
+++ b/gladedrum/platform/orders.py
@@ -19,9 +19,9 @@
 
     REQUEST = "request"
     REPORT = "load report"
-    SET_ASIDE = "reserve order"
+    RESERVE = "reserve order"
     RENEW = "renew order"
-    FREE = "release order"
+    RELEASE = "release order"
 
 
 class TargetCall(NamedTuple):
@@ -49,7 +49,7 @@
 
 
 def reserve_call(
-    reservation: str, tokens: int, hold_s: float, kind: CallKind = CallKind.SET_ASIDE
+    reservation: str, tokens: int, hold_s: float, kind: CallKind = CallKind.RESERVE
 ) -> TargetCall:
     """Return a call that reserves memory or renews a reservation.
 
@@ -63,4 +63,4 @@
     """Return a call that releases a reservation."""
     order = {"op": "release", "id": reservation}
     body = msgspec.json.encode(order)
-    return TargetCall(CallKind.FREE, b"POST", wire.ORDER_PATH.encode(), body)
+    return TargetCall(CallKind.RELEASE, b"POST", wire.ORDER_PATH.encode(), body)
--- a/gladedrum/platform/statements.py
+++ b/gladedrum/platform/statements.py
@@ -10,7 +10,7 @@
 
 from . import wire
 
-__all__ = ["OddStatement", "Statements", "parse_statements"]
+__all__ = ["MalformedStatement", "Statements", "parse_statements"]
 
 Headers = Iterable[tuple[bytes, bytes]]
 
@@ -26,7 +26,7 @@
 """The maximum length of a malformed header's text that is kept for logs."""
 
 
-class OddStatement(NamedTuple):
+class MalformedStatement(NamedTuple):
     """A statement that cannot be parsed.
 
     Parameters
@@ -54,14 +54,14 @@
     rest_s : float or None
         Backoff: the time in seconds during which the target wants no calls from the box that gets
         this response. None if it asks for no backoff.
-    odd : tuple of OddStatement
+    malformed : tuple of MalformedStatement
         Statements that cannot be parsed; they have no effect.
     """
 
     rate_per_s: float | None = None
     leaves: bool = False
     rest_s: float | None = None
-    odd: tuple[OddStatement, ...] = ()
+    malformed: tuple[MalformedStatement, ...] = ()
 
 
 def parse_statements(status: int, headers: Headers) -> Statements:
@@ -73,21 +73,21 @@
     Examples
     --------
     >>> parse_statements(503, [(b"retry-after", b"3"), (b"server-leaving", b"1")])
-    Statements(rate_per_s=None, leaves=True, rest_s=3.0, odd=())
+    Statements(rate_per_s=None, leaves=True, rest_s=3.0, malformed=())
     """
     headers = list(headers)
     rate, malformed_rate = _read_header(headers, wire.RATE_LIMIT, _DECIMAL)
     leaves, malformed_leaves = _read_header(headers, wire.LEAVING, _TRUE)
     allows_backoff = status == HTTPStatus.SERVICE_UNAVAILABLE
     rest, malformed_rest = (
-        _read_header(headers, wire.REST, _SECONDS) if allows_backoff else (None, "")
+        _read_header(headers, wire.RETRY_AFTER, _SECONDS) if allows_backoff else (None, "")
     )
-    odd = {"rate_per_s": malformed_rate, "leaves": malformed_leaves, "rest_s": malformed_rest}
+    malformed = {"rate_per_s": malformed_rate, "leaves": malformed_leaves, "rest_s": malformed_rest}
     return Statements(
         None if rate is None else float(rate),
         leaves is not None,
         None if rest is None else float(rest),
-        tuple(OddStatement(kind, text) for kind, text in odd.items() if text),
+        tuple(MalformedStatement(kind, text) for kind, text in malformed.items() if text),
     )
 
 
--- a/gladedrum/platform/store.py
+++ b/gladedrum/platform/store.py
@@ -137,7 +137,7 @@
     ----------
     era : int
         The latest era that a response has named; 0 before the first response.
-    on_era : list of callable
+    on_restored : list of callable
         Called with the previous and the new era when the store has been restored, before the
         response that names the new era is returned.
     """
@@ -146,7 +146,7 @@
         self._base = f"http://{address}"
         self._web = web
         self.era = 0
-        self.on_era: list[Callable[[int, int], None]] = []
+        self.on_restored: list[Callable[[int, int], None]] = []
 
     async def get(self, key: str) -> StoredItem | None:
         """Return one item, None if the key does not exist; raises `KVUnavailableError`."""
@@ -321,7 +321,7 @@
                 raise KVUnknownError(f"{path}: status {reply.status}")
 
     def _note_era(self, reply: JsonReply) -> int:
-        """Return a response's era, else the latest known; call `on_era` if it is new."""
+        """Return a response's era, else the latest known; call `on_restored` if it is new."""
         text = reply.headers.get(wire.STORE_ERA, b"").strip()
         if not text.isdigit() or len(text) > _MAX_ERA_DIGITS:
             return self.era
@@ -329,7 +329,7 @@
         if era > before:
             self.era = era
             if before:
-                for callback in self.on_era:
+                for callback in self.on_restored:
                     callback(before, era)
         return era
 
--- a/gladedrum/platform/tests/test_codecs.py
+++ b/gladedrum/platform/tests/test_codecs.py
@@ -13,12 +13,12 @@
     decode_report,
     decode_target,
 )
-from gladedrum.platform.heads import (
-    SentMarks,
+from gladedrum.platform.headers import (
+    ForwardMetadata,
     answer_headers,
-    answer_marks,
-    caller_marks,
     forward_headers,
+    parse_answer_headers,
+    parse_caller_headers,
 )
 
 CONFIGURATION = {
@@ -111,7 +111,7 @@
 @given(st.lists(st.tuples(_TOKEN, _VALUE), max_size=8))
 def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(headers):
     own = [*headers, (b"connection", b"x-hop, close"), (b"x-hop", b"1"), (b"helpers", b"evil")]
-    sent = forward_headers(own, None, SentMarks("t1"))
+    sent = forward_headers(own, None, ForwardMetadata("t1"))
     names = [name for name, _ in sent]
     assert b"x-hop" not in names
     assert b"helpers" not in names
@@ -125,10 +125,10 @@
     b"length-hint",
 ]), st.binary(max_size=30)), max_size=8))  # fmt: skip
 def test_malformed_metadata_is_ignored(headers):
-    marks = caller_marks(headers)
-    assert marks.prompt_tokens >= 0
-    assert marks.time_left_s is None or marks.time_left_s >= 0
-    answer_marks(503, headers)
+    metadata = parse_caller_headers(headers)
+    assert metadata.prompt_tokens >= 0
+    assert metadata.time_left_s is None or metadata.time_left_s >= 0
+    parse_answer_headers(503, headers)
     answer_headers(headers)
 
 
@@ -143,4 +143,4 @@
     ],
 )
 def test_not_run_requires_the_targets_explicit_statement(status, headers, not_run):
-    assert answer_marks(status, headers).not_run is not_run
+    assert parse_answer_headers(status, headers).not_run is not_run
--- a/gladedrum/platform/tests/test_statements.py
+++ b/gladedrum/platform/tests/test_statements.py
@@ -6,7 +6,7 @@
 
 
 def _malformed(statements: Statements) -> dict[str, str]:
-    return dict(statements.odd)
+    return dict(statements.malformed)
 
 
 @pytest.mark.parametrize(
@@ -15,7 +15,7 @@
 )
 def test_rate_limit_is_parsed(value, rate):
     statements = parse_statements(200, [(b"server-limit", value)])
-    assert (statements.rate_per_s, statements.odd) == (rate, ())
+    assert (statements.rate_per_s, statements.malformed) == (rate, ())
 
 
 @pytest.mark.parametrize(
--- a/gladedrum/platform/tests/test_store.py
+++ b/gladedrum/platform/tests/test_store.py
@@ -169,7 +169,7 @@
 
     async def test_revisions_and_leases_of_an_earlier_era_are_rejected(self):
         restores = []
-        self.kv.on_era.append(lambda before, era: restores.append((before, era)))
+        self.kv.on_restored.append(lambda before, era: restores.append((before, era)))
         revision = await self.kv.swap("a", b"1", ABSENT)
         self.service.keep_copy()
         lease = await self.kv.grant_lease(5)
--- a/gladedrum/standins/target.py
+++ b/gladedrum/standins/target.py
@@ -213,7 +213,7 @@
             self._note("told leaving", request_id=request_id)
         if self.switches.rest_s is not None:
             self._note("wants rest", request_id=request_id, rest_s=self.switches.rest_s)
-            request.setHeader(wire.REST, b"%g" % self.switches.rest_s)
+            request.setHeader(wire.RETRY_AFTER, b"%g" % self.switches.rest_s)
             return self._refuse(request, HTTPStatus.SERVICE_UNAVAILABLE)
         if self._slots.waiting >= QUEUE:
             return self._refuse(request, HTTPStatus.SERVICE_UNAVAILABLE)
--- a/gladedrum/standins/wire_heads.py
+++ b/gladedrum/standins/wire_heads.py
@@ -34,7 +34,7 @@
         (wire.AUTHORIZATION, b"Bearer " + key.encode()),
     ]
     if prompt_tokens:
-        headers.append((wire.TOKENS_IN_OUT, b"%d,%d" % (prompt_tokens, USUAL_ANSWER_TOKENS)))
+        headers.append((wire.TOKEN_USAGE, b"%d,%d" % (prompt_tokens, USUAL_ANSWER_TOKENS)))
     if body_bytes:
         headers.append((b"content-length", b"%d" % body_bytes))
     return headers
--- a/gladedrum/table/tests/test_from_copy.py
+++ b/gladedrum/table/tests/test_from_copy.py
@@ -28,7 +28,7 @@
     def box(self):
         store, in_force = self.store(), TableInForce(reactor)
         follower = TableFollower(reactor, store, in_force)
-        store.on_era.append(lambda _before, _era: follower.note_store_restored())
+        store.on_restored.append(lambda _before, _era: follower.note_store_restored())
         self.running += [start(follower.run()), start(self.call_often(store))]
         return in_force
 
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -87,13 +87,13 @@
 def _take_any_answer() -> None:
     """Take any answer for one's own, and keep connections whatever was left on them."""
 
-    def give_up(exchange: target_conn.Exchange) -> None:
+    def cancel(exchange: target_conn.Exchange) -> None:
         exchange.over = True
         if exchange._conn is not None:
             exchange._conn._exchange = None
-            exchange._conn._pool.keep(exchange._conn._place, exchange._conn)
+            exchange._conn._pool.keep(exchange._conn._address, exchange._conn)
 
-    target_conn.Exchange.give_up = give_up
+    target_conn.Exchange.cancel = cancel
 
 
 def _never_read_again() -> None:
