--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -18,7 +18,7 @@
 from twisted.internet import defer, task
 
 from benchmarks.measure import fit, loopback_bytes, resident_bytes, save
-from gladedrum.claims import Claim, ClaimShard, ClaimState, ShardLimits, Take
+from gladedrum.claims import Claim, ClaimKey, ClaimShard, ClaimState, ShardLimits
 from gladedrum.config import Settings
 from gladedrum.daemon.box import BoxProcess  # noqa: F401 - so that all of a box is imported
 from gladedrum.peers import Membership, PeerHandler, PeerLink, listen_for_peers, record_of_job
@@ -250,7 +250,7 @@
         waits, number = [], 0
         while reactor.seconds() - began_s < seconds:
             claim = Claim(f"request-{number}", "box-1", "0" * 16, ClaimState.RUNNING, time.time())
-            waits.append(shard.submit(Take(f"{number:024x}", claim)))
+            waits.append(shard.submit(ClaimKey(f"{number:024x}", claim)))
             number += 1
             await sleep(reactor, max(0.0, began_s + number / per_s - reactor.seconds()))
         await defer.gatherResults(waits)
--- a/gladedrum/claims/__init__.py
+++ b/gladedrum/claims/__init__.py
@@ -5,11 +5,11 @@
 is not run, unless the first one did not run.
 """
 
-from .book import *
-from .book import __all__ as _book_all
+from .buckets import *
+from .buckets import __all__ as _buckets_all
 from .core import *
 from .core import __all__ as _core_all
 from .shard import *
 from .shard import __all__ as _shard_all
 
-__all__ = [*_book_all, *_core_all, *_shard_all]
+__all__ = [*_buckets_all, *_core_all, *_shard_all]
--- a/gladedrum/claims/book.py
+++ b/gladedrum/claims/buckets.py
@@ -16,11 +16,11 @@
     "Applied",
     "Bucket",
     "Claim",
+    "ClaimKey",
     "ClaimState",
     "HeldByOther",
     "RecordOutcome",
     "ShardState",
-    "Take",
 ]
 
 
@@ -79,7 +79,7 @@
     sealed: bool = False
 
 
-class Take(NamedTuple):
+class ClaimKey(NamedTuple):
     """Operation: claim a key for a request."""
 
     key: str
@@ -128,7 +128,7 @@
         return None
 
     def apply(
-        self, operations: Iterable[Take | RecordOutcome], now_s: float
+        self, operations: Iterable[ClaimKey | RecordOutcome], now_s: float
     ) -> tuple[int, Bucket, list[Applied | HeldByOther]]:
         """Compute the newest bucket after some operations, without changing this object.
 
@@ -147,12 +147,12 @@
         return number, Bucket(claims, current.opened_s), answers
 
     def _apply_one(
-        self, operation: Take | RecordOutcome, claims: dict[str, Claim]
+        self, operation: ClaimKey | RecordOutcome, claims: dict[str, Claim]
     ) -> Applied | HeldByOther:
         existing = claims.get(operation.key) or self.find(operation.key)
         same_request = existing is not None and existing.request_id == operation.claim.request_id
         match operation:
-            case Take(key=key, claim=claim):
+            case ClaimKey(key=key, claim=claim):
                 if same_request:
                     return Applied()
                 if existing is not None and existing.state != ClaimState.NOT_RUN:
--- a/gladedrum/claims/core.py
+++ b/gladedrum/claims/core.py
@@ -15,7 +15,7 @@
 from ..outcome import Completed, Failed, NotRun, Outcome, Unknown
 from ..platform import StoreClient
 from ..utils import backoff_s, sleep, start
-from .book import Applied, Claim, ClaimState, HeldByOther, RecordOutcome, Take
+from .buckets import Applied, Claim, ClaimKey, ClaimState, HeldByOther, RecordOutcome
 from .shard import ClaimShard, ShardLimits
 
 __all__ = [
@@ -136,7 +136,7 @@
         digest = _digest(organisation, key)
         claim = self._claim(request_id, body, ClaimState.RUNNING)
         try:
-            answer = await self._shard(digest).submit(Take(digest, claim))
+            answer = await self._shard(digest).submit(ClaimKey(digest, claim))
         except (KVUnavailableError, KVUnknownError) as exc:
             if isinstance(exc, KVUnknownError):
                 # The claim may have been written. Record that its request never runs.
--- a/gladedrum/claims/shard.py
+++ b/gladedrum/claims/shard.py
@@ -13,7 +13,7 @@
 from ..errors import KVConflictError, KVUnavailableError, KVUnknownError
 from ..platform import ABSENT, Revision, StoreClient
 from ..utils import start
-from .book import Applied, Bucket, HeldByOther, RecordOutcome, ShardState, Take
+from .buckets import Applied, Bucket, ClaimKey, HeldByOther, RecordOutcome, ShardState
 
 __all__ = ["ClaimShard", "ShardLimits"]
 
@@ -70,10 +70,12 @@
         self._limits = limits
         self._state: ShardState | None = None
         self._revisions: dict[int, Revision] = {}
-        self._pending: list[tuple[Take | RecordOutcome, defer.Deferred[Applied | HeldByOther]]] = []
+        self._pending: list[
+            tuple[ClaimKey | RecordOutcome, defer.Deferred[Applied | HeldByOther]]
+        ] = []
         self._writing = False
 
-    def submit(self, operation: Take | RecordOutcome) -> defer.Deferred[Applied | HeldByOther]:
+    def submit(self, operation: ClaimKey | RecordOutcome) -> defer.Deferred[Applied | HeldByOther]:
         """Queue an operation for the next batch.
 
         Returns
@@ -98,7 +100,7 @@
             self._writing = False
 
     async def _commit(
-        self, batch: list[tuple[Take | RecordOutcome, defer.Deferred[Applied | HeldByOther]]]
+        self, batch: list[tuple[ClaimKey | RecordOutcome, defer.Deferred[Applied | HeldByOther]]]
     ) -> None:
         operations = [operation for operation, _ in batch]
         try:
@@ -116,7 +118,9 @@
         for (_, waiting), answer in zip(batch, answers, strict=True):
             waiting.callback(answer)
 
-    async def _write(self, operations: list[Take | RecordOutcome]) -> list[Applied | HeldByOther]:
+    async def _write(
+        self, operations: list[ClaimKey | RecordOutcome]
+    ) -> list[Applied | HeldByOther]:
         """Write the operations, and retry on conflicts and lost responses."""
         in_doubt: KVUnknownError | None = None
         for _ in range(_MAX_WRITE_ATTEMPTS):
@@ -184,7 +188,8 @@
 
 
 def _fail(
-    batch: list[tuple[Take | RecordOutcome, defer.Deferred[Applied | HeldByOther]]], exc: Exception
+    batch: list[tuple[ClaimKey | RecordOutcome, defer.Deferred[Applied | HeldByOther]]],
+    exc: Exception,
 ) -> None:
     for _, waiting in batch:
         waiting.errback(exc)
--- a/gladedrum/claims/tests/test_interleavings.py
+++ b/gladedrum/claims/tests/test_interleavings.py
@@ -12,11 +12,11 @@
 from gladedrum.claims import (
     Applied,
     Claim,
+    ClaimKey,
     ClaimShard,
     ClaimState,
     RecordOutcome,
     ShardLimits,
-    Take,
 )
 from gladedrum.errors import KVConflictError, KVUnavailableError, KVUnknownError
 from gladedrum.platform import ABSENT, Revision, StoredItem
@@ -77,7 +77,7 @@
 
 def _take(box):
     claim = Claim(f"request-{box}", box, "body", ClaimState.RUNNING, 0.0)
-    return Take(_KEY, claim)
+    return ClaimKey(_KEY, claim)
 
 
 def _run(given, boxes, max_faults, limits, outcome_state):
--- a/gladedrum/claims/tests/test_shard.py
+++ b/gladedrum/claims/tests/test_shard.py
@@ -1,6 +1,6 @@
 """Every submitted operation gets a result, also after an internal error."""
 
-from gladedrum.claims import Claim, ClaimShard, ClaimState, ShardLimits, Take
+from gladedrum.claims import Claim, ClaimKey, ClaimShard, ClaimState, ShardLimits
 from gladedrum.errors import KVUnknownError
 
 
@@ -15,5 +15,5 @@
     claim = Claim("request", "box", "body", ClaimState.RUNNING, 0.0)
     results = []
     for _ in range(2):
-        shard.submit(Take("k", claim)).addErrback(lambda f: results.append(f.type))
+        shard.submit(ClaimKey("k", claim)).addErrback(lambda f: results.append(f.type))
     assert results == [KVUnknownError, KVUnknownError]
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -12,7 +12,7 @@
 from ..config.operator_token import OPERATOR_TOKEN
 from ..entry import EntrySite, Placer, RunContext
 from ..entry.body import CallerSite
-from ..entry.connections import CountedConnections
+from ..entry.connections import TrackedConnections
 from ..entry.retries import RetryBudget
 from ..entry.services import ServiceRouter
 from ..entry.site import CALLER_HOST, CALLER_PORT
@@ -39,7 +39,7 @@
 from ..table import TableInForce, TableSpread, TableState, TableStore
 from ..table.site import TableSite
 from ..targets import ServiceClient
-from ..targets.owners import Owners
+from ..targets.owners import TargetOwners
 from ..telemetry import Metrics
 from ..telemetry.traces import Traces
 from ..utils import WebClient, repeat, start
@@ -93,7 +93,7 @@
         self.table_store = TableStore(self.kv)
         self._directory = DirectoryClient(cfg, self._web)
         self._peers = Peers(reactor, cfg, self.membership)
-        self.owners = Owners(
+        self.owners = TargetOwners(
             reactor, cfg, self._web, self.metrics, self._find_target, self._live_sessions
         )
         self._gateway = OwnerGateway(self.membership, self._peers, self.owners, self.metrics)
@@ -107,10 +107,10 @@
             self._ask_table,
         )
         self._placer = Placer(reactor, cfg, self.membership, self._gateway)
-        self.membership.on_change = self._placer.hand_over_soon
+        self.membership.on_change = self._placer.schedule_hand_over
         self.entry = self._make_entry(cfg)
         site = CallerSite(reactor, self.entry.app.resource(), cfg)
-        self._caller_connections = CountedConnections(site, reactor)
+        self._caller_connections = TrackedConnections(site, reactor)
         self._callers = Listener("callers", self._listen_callers, self._cannot_listen)
         self._operators = Listener("operators", self._listen_operators, self._cannot_listen)
         self._peer_server = Listener("peers", self._listen_peers, self._cannot_listen)
--- a/gladedrum/entry/attempt.py
+++ b/gladedrum/entry/attempt.py
@@ -28,7 +28,7 @@
 from ..telemetry.traces import header_of_span
 from ..utils import WebClient, backoff_s, sleep
 from .lifecycle import Lifecycle
-from .placement import Placed, Placer
+from .placement import Placer, Reservation
 
 __all__ = ["Attempt", "AttemptContext", "Sink"]
 
@@ -95,7 +95,7 @@
     offset: Callable[[], int]
     on_pieces: Callable[[list[Piece]], None]
     on_dropped: Callable[[str], None]
-    on_target_failure: Callable[[Placed, Exception], None]
+    on_target_failure: Callable[[Reservation, Exception], None]
 
 
 class Attempt:
@@ -105,7 +105,7 @@
     ----------
     ctx : AttemptContext
         State common to all attempts of the request.
-    parts : tuple of Placed
+    parts : tuple of Reservation
         The reservations, in the order of the segments.
     model, prompt : str
         Model and whole prompt.
@@ -118,7 +118,7 @@
     def __init__(
         self,
         ctx: AttemptContext,
-        parts: tuple[Placed, ...],
+        parts: tuple[Reservation, ...],
         model: str,
         prompt: str,
         max_tokens: int,
@@ -135,7 +135,7 @@
         ctx.own_sessions.update(p.job.job_id for p in parts)
 
     @property
-    def last(self) -> Placed:
+    def last(self) -> Reservation:
         """The reservation on the target that generates the answer."""
         return self._parts[-1]
 
@@ -315,7 +315,7 @@
         except (TargetUnreachableError, TargetBrokenError):
             return True
 
-    async def _cancel_with_retries(self, engine: EngineClient, part: Placed) -> None:
+    async def _cancel_with_retries(self, engine: EngineClient, part: Reservation) -> None:
         for attempt in range(1, _MAX_CANCEL_ATTEMPTS + 1):
             try:
                 await engine.cancel(part.job.job_id)
@@ -330,7 +330,7 @@
                 )
                 await sleep(self._ctx.clock, pause_s)
 
-    def _release(self, part: Placed) -> None:
+    def _release(self, part: Reservation) -> None:
         self._ctx.own_sessions.discard(part.job.job_id)
         self._ctx.placer.release(part)
 
--- a/gladedrum/entry/connections.py
+++ b/gladedrum/entry/connections.py
@@ -4,12 +4,12 @@
 from twisted.internet.interfaces import IProtocolFactory, IReactorTime
 from twisted.protocols.policies import ProtocolWrapper, WrappingFactory
 
-__all__ = ["CountedConnections"]
+__all__ = ["TrackedConnections"]
 
 _MAX_CLOSE_S = 5.0
 
 
-class CountedConnections(WrappingFactory):
+class TrackedConnections(WrappingFactory):
     """Wraps the protocol factory of a server and tracks its open connections.
 
     Parameters
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -30,7 +30,7 @@
 from ..targets.owner import DEFAULT_POLICY, RENEWAL
 from ..utils import repeat
 
-__all__ = ["Placed", "Placer"]
+__all__ = ["Placer", "Reservation"]
 
 _MAX_ROUNDS = 4
 _RENEWALS_PER_LIFETIME = 4
@@ -40,7 +40,7 @@
 _log = logging.getLogger(__name__)
 
 
-class Placed(NamedTuple):
+class Reservation(NamedTuple):
     """A reservation on a target.
 
     Parameters
@@ -97,7 +97,7 @@
         self._cfg = cfg
         self._membership = membership
         self._gateway = gateway
-        self._held: dict[str, Placed] = {}
+        self._held: dict[str, Reservation] = {}
         self._informed_owners: dict[str, str] = {}
         self._hand_over_call: IDelayedCall | None = None
         self._avoided_until_s: dict[str, float] = {}
@@ -124,7 +124,7 @@
         policy_name: str,
         exclude: frozenset[str] = frozenset(),
         traceparent: str = "",
-    ) -> tuple[Placed, ...] | Refused:
+    ) -> tuple[Reservation, ...] | Refused:
         """Find targets for a request and wait for reservations on them.
 
         Parameters
@@ -142,7 +142,7 @@
 
         Returns
         -------
-        tuple of Placed, or Refused
+        tuple of Reservation, or Refused
             One reservation, or one for each segment of a long prompt. The caller must
             `release` each of them.
         """
@@ -169,20 +169,20 @@
             excluded |= refusing
         return refusal
 
-    def release(self, reservation: Placed) -> None:
+    def release(self, reservation: Reservation) -> None:
         """Release a reservation; does nothing if it was released before."""
         if self._held.pop(reservation.job.job_id, None) is None:
             return
         del self._informed_owners[reservation.job.job_id]
         self._gateway.release(reservation.owner, reservation.target, reservation.job.job_id)
 
-    def first_token(self, reservation: Placed) -> None:
+    def first_token(self, reservation: Reservation) -> None:
         """Report to the owner that the first token has arrived."""
         self._gateway.first_token(
             reservation.owner, reservation.target.name, reservation.job.job_id
         )
 
-    def hand_over_soon(self) -> None:
+    def schedule_hand_over(self) -> None:
         """Schedule the hand-over of running requests to new owners; call when owners change."""
         if self._hand_over_call is None:
             self._hand_over_call = self._clock.callLater(0, self._hand_over)
@@ -198,7 +198,7 @@
     def _hand_over(self) -> None:
         """Send each reservation to its target's owner, unless that owner already has it."""
         self._hand_over_call = None
-        by_target: defaultdict[str, list[Placed]] = defaultdict(list)
+        by_target: defaultdict[str, list[Reservation]] = defaultdict(list)
         for reservation in self._held.values():
             owner = self._membership.owner_of(reservation.target)
             if self._informed_owners.get(reservation.job.job_id) != owner.name:
@@ -233,7 +233,7 @@
         options: _ReservationOptions,
         targets: Iterable[Target],
         quotes: dict[str, Quote],
-    ) -> tuple[Placed, ...] | Refused | None:
+    ) -> tuple[Reservation, ...] | Refused | None:
         """Reserve on the targets with the best quotes; None if an owner was lost."""
         by_name = {t.name: t for t in targets}
         accepted = [by_name[name] for name in order_by_cost(quotes)]
@@ -253,21 +253,21 @@
 
     async def _reserve_first(
         self, job: Job, options: _ReservationOptions, targets: Iterable[Target]
-    ) -> tuple[Placed, ...] | Refused | None:
+    ) -> tuple[Reservation, ...] | Refused | None:
         """Reserve on the first target that grants the request."""
         refusals = []
         for target in targets:
             answer = await self._reserve_one(job, options, target)
-            if isinstance(answer, Placed):
+            if isinstance(answer, Reservation):
                 return (answer,)
             refusals.append(answer)
         return min(refusals, key=lambda r: r.retry_after_s, default=None)
 
     async def _reserve_all(
         self, jobs: list[Job], options: _ReservationOptions, targets: list[Target]
-    ) -> tuple[Placed, ...] | Refused:
+    ) -> tuple[Reservation, ...] | Refused:
         """Reserve on all targets, in this order, or on none."""
-        parts: list[Placed] = []
+        parts: list[Reservation] = []
         complete = False
         try:
             for job, target in zip(jobs, targets, strict=True):
@@ -284,15 +284,15 @@
 
     async def _reserve_one(
         self, job: Job, options: _ReservationOptions, target: Target
-    ) -> Placed | Refused:
+    ) -> Reservation | Refused:
         owner, answer = await self._gateway.reserve(
             target, job, options.policy, options.traceparent
         )
         if isinstance(answer, Refused):
             return answer
-        return self._hold(Placed(job, options.policy, target, owner, answer.priority))
+        return self._hold(Reservation(job, options.policy, target, owner, answer.priority))
 
-    def _hold(self, reservation: Placed) -> Placed:
+    def _hold(self, reservation: Reservation) -> Reservation:
         self._held[reservation.job.job_id] = reservation
         self._informed_owners[reservation.job.job_id] = reservation.owner.name
         return reservation
--- a/gladedrum/entry/responses.py
+++ b/gladedrum/entry/responses.py
@@ -16,7 +16,7 @@
 from ..errors import Finding
 from ..outcome import Completed, Outcome, http_status, outcome_name, retry_after_s
 from ..targets import AnswerStream, Piece
-from .once import RUNNING_RETRY_AFTER_S, Duplicate
+from .idempotency import RUNNING_RETRY_AFTER_S, Duplicate
 from .requests import CallerRequest, RequestKind
 
 __all__ = [
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -20,7 +20,7 @@
 from ..utils import WebClient, backoff_s, sleep, start, with_timeout
 from .attempt import Attempt, AttemptContext, Sink
 from .lifecycle import new_lifecycle
-from .placement import Placed, Placer
+from .placement import Placer, Reservation
 from .requests import CallerRequest
 from .retries import RetryBudget
 
@@ -117,7 +117,7 @@
         self._deadline_s = self._arrival_s + self._time_limit_s()
         self._last_piece_s: float | None = None
         # The reservation for which the first token has not been reported to the owner.
-        self._awaiting_first_token: Placed | None = None
+        self._awaiting_first_token: Reservation | None = None
         self._failed_targets: frozenset[str] = frozenset()
         self._log = request_logger(_log, request_id)
         self._attempt_context = AttemptContext(
@@ -215,7 +215,9 @@
             case outcome:
                 return outcome
 
-    async def _place(self, excluded: frozenset[str], span: Span) -> tuple[Placed, ...] | Refused:
+    async def _place(
+        self, excluded: frozenset[str], span: Span
+    ) -> tuple[Reservation, ...] | Refused:
         job = Job(
             job_id=f"{self._id}.{self._attempt_count}",
             organisation=self._req.organisation,
@@ -242,7 +244,7 @@
                 place_span.set_attribute("gladedrum.owner", parts[-1].owner.name)
             return parts
 
-    async def _attempt(self, parts: tuple[Placed, ...], span: Span) -> Outcome | None:
+    async def _attempt(self, parts: tuple[Reservation, ...], span: Span) -> Outcome | None:
         """Make one attempt; return None if the request may be retried on other targets."""
         self._awaiting_first_token = parts[-1]
         attempt = Attempt(
@@ -292,7 +294,7 @@
     def _on_dropped(self, why: str) -> None:
         self._ctx.metrics.dropped_pieces.labels(why).inc()
 
-    def _on_target_failure(self, reservation: Placed, exc: Exception) -> None:
+    def _on_target_failure(self, reservation: Reservation, exc: Exception) -> None:
         self._log.warning(
             "target failed a request",
             extra={"target": reservation.target.name, "reason": str(exc), "offset": self._offset},
--- a/gladedrum/entry/site.py
+++ b/gladedrum/entry/site.py
@@ -17,7 +17,7 @@
 from ..table import Table
 from ..targets import BYTES_PER_TOKEN, ServiceReply, estimate_tokens, prefix_digests
 from ..utils import start
-from .once import AskRunning, Duplicate, KeyedRequest, run_once
+from .idempotency import AskRunning, Duplicate, KeyedRequest, run_once
 from .requests import (
     IDEMPOTENCY_HEADER,
     MAY_REPEAT_HEADER,
--- a/gladedrum/entry/tests/test_attempt.py
+++ b/gladedrum/entry/tests/test_attempt.py
@@ -9,7 +9,7 @@
 
 from gladedrum.entry.attempt import Attempt, AttemptContext
 from gladedrum.entry.lifecycle import new_lifecycle
-from gladedrum.entry.placement import Placed
+from gladedrum.entry.placement import Reservation
 from gladedrum.errors import TargetBrokenError, TargetRefusedError, TargetUnreachableError
 from gladedrum.outcome import Completed, Failed
 from gladedrum.platform import Box, Target
@@ -18,7 +18,7 @@
 from gladedrum.utils import start
 
 JOB = Job("job", "org", "class", 1000, 10, 0.0, 1000.0)
-RESERVATION = Placed(
+RESERVATION = Reservation(
     JOB, "fair_slack", Target("e", "engine", "http://127.0.0.1:3"), Box("b", "", 1), 0
 )
 BROKEN, GONE = TargetBrokenError("reset"), TargetRefusedError("no such session", 404)
--- a/gladedrum/entry/tests/test_once.py
+++ b/gladedrum/entry/tests/test_idempotency.py
@@ -3,7 +3,7 @@
 from twisted.internet import defer
 
 from gladedrum.claims import Acquired, AlreadyClaimed, Claim, ClaimState
-from gladedrum.entry.once import Duplicate, KeyedRequest, run_once
+from gladedrum.entry.idempotency import Duplicate, KeyedRequest, run_once
 from gladedrum.outcome import Completed, NotRun, Unknown
 from gladedrum.utils import start
 
--- a/gladedrum/peers/tests/test_stopping.py
+++ b/gladedrum/peers/tests/test_stopping.py
@@ -4,7 +4,7 @@
 from twisted.internet.task import Clock
 
 from gladedrum.config import parse_settings
-from gladedrum.entry import Placed, Placer
+from gladedrum.entry import Placer, Reservation
 from gladedrum.peers import Membership, OwnerGateway, PeerLostError, Peers
 from gladedrum.peers.records import record_of_quote, record_of_reserve
 from gladedrum.platform import Box, Directory, Target
@@ -93,7 +93,7 @@
     assert not results
     owners.waiting.callback(Refused(LEAVING_REASON, 1.0))
     ((placed,),) = results
-    assert isinstance(placed, Placed)
+    assert isinstance(placed, Reservation)
     assert placed.owner.name == "other"
 
 
--- a/gladedrum/targets/owners.py
+++ b/gladedrum/targets/owners.py
@@ -15,7 +15,7 @@
 from .engine import EngineClient
 from .owner import DEFAULT_POLICY, LEAVING_REASON, DecisionClock, LiveSessions, TargetOwner
 
-__all__ = ["POLL_INTERVAL", "Owners"]
+__all__ = ["POLL_INTERVAL", "TargetOwners"]
 
 POLL_INTERVAL = Item(
     "targets", "poll_interval_s", 1.0, "How often an owner asks a target for its load.",
@@ -27,7 +27,7 @@
 _log = logging.getLogger(__name__)
 
 
-class Owners:
+class TargetOwners:
     """The owners of all targets that this box owns or receives requests for.
 
     Parameters
