--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -84,7 +84,7 @@
     def vouch(self, _address, note) -> None:
         self._pass(Gossip(self._box, vouches=[note]))
 
-    def tell_list(self, _address, part) -> None:
+    def send_list_part(self, _address, part) -> None:
         self._pass(Gossip(self._box, list_parts=[part]))
 
 
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -158,7 +158,7 @@
             "version": self.configuration.table.version if self.configuration.table else None,
             "targets": len(self.targets.entries),
             "table_revision": self.table.table.revision,
-            "edits_held": len(self.table.held),
+            "edits_held": len(self.table.accepted_edits),
         }
         _log.warning("the store was restored from an earlier copy", extra=extra)
         self.configuration.note_store_restored()
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -15,7 +15,7 @@
 from gladedrum.beliefs.peer_sync import PeerSync
 from gladedrum.beliefs.store_beliefs import StoreBeliefs
 from gladedrum.errors import KVConflictError, KVUnavailableError
-from gladedrum.gossip import GossipPort, is_farewell
+from gladedrum.gossip import GossipPort, is_shutdown_notice
 from gladedrum.platform import wire
 from gladedrum.platform.store import (
     HistoryGoneError,
@@ -228,7 +228,7 @@
             capacity,
         )
         self.port.transport = SimpleNamespace(write=self._send)
-        registry.on_listed = self.port.say_hello
+        registry.on_listed = self.port.announce_box
         self.losses = self.make_losses()
         self.peer_sync = PeerSync(
             fleet.clock,
@@ -261,7 +261,7 @@
     def end(self) -> None:
         """Complete a planned stop."""
         start(self.beliefs.registry.leave())
-        self.port.say_farewell()
+        self.port.announce_shutdown()
         self.stop()
 
     def stop(self) -> None:
@@ -280,7 +280,7 @@
         )
 
     def _take(self, received, address) -> None:
-        if is_farewell(received):
+        if is_shutdown_notice(received):
             self.beliefs.registry.note_ended(received.box, address)
             return
         self.beliefs.registry.note_datagram(received.box, address, received.capacity)
--- a/gladedrum/beliefs/tests/test_leaving.py
+++ b/gladedrum/beliefs/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import pytest
 
 from gladedrum.beliefs.tests.fleet import VirtualFleet
-from gladedrum.gossip import PLACED, decode, encode, is_farewell
+from gladedrum.gossip import PLACED, decode, encode, is_shutdown_notice
 from gladedrum.gossip.wire.ttypes import Gossip, RepeatAsk, ReportNote, WorkNote
 
 BOXES = 9
@@ -58,7 +58,7 @@
 def test_a_farewell_that_overtakes_other_datagrams_is_repeated(fleet):
     box = stopping(fleet)
     fleet.run(DRAIN_S)
-    box.port.say_farewell()
+    box.port.announce_shutdown()
     other = next(other for other in fleet.boxes.values() if other is not box)
     fleet.run(0.01)
     other.port.datagramReceived(encode(Gossip(box.beliefs.coordinators.me)), box.address)
@@ -70,17 +70,17 @@
 
 def test_after_its_farewell_a_box_sends_nothing_else(fleet):
     box = stopping(fleet)
-    box.port.say_farewell()
+    box.port.announce_shutdown()
     sent = []
     box.port.transport.write = lambda data, address: sent.append(decode(data))
-    box.port.tell_report(ReportNote("t0", True))
-    box.port.tell_work(WorkNote("w", PLACED, ["t0"]))
-    box.port.say_hello()
+    box.port.broadcast_report(ReportNote("t0", True))
+    box.port.broadcast_work(WorkNote("w", PLACED, ["t0"]))
+    box.port.announce_box()
     box.port.ask_repeat(("10.0.0.1", 7000), RepeatAsk(1, "s"))
     fleet.run(0.1)
-    box.port.say_farewell()
+    box.port.announce_shutdown()
     assert sent
-    assert all(is_farewell(received) for received in sent)
+    assert all(is_shutdown_notice(received) for received in sent)
 
 
 def test_the_next_start_of_a_box_is_a_member_at_once(fleet):
--- a/gladedrum/beliefs/tests/test_peer_sync.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -34,10 +34,10 @@
     def vouch(self, _address, note):
         self.notes.append(note)
 
-    def hand_on(self, _address, part):
+    def send_configuration_part(self, _address, part):
         self.handed.append(part)
 
-    def tell_list(self, _address, part):
+    def send_list_part(self, _address, part):
         self.parts.append(part)
 
 
@@ -228,7 +228,7 @@
     asker, wire = box(clock, False, 3)
     exchange(clock, asker, wire, member, member_wire)
     assert asker._table_follower._may_rely_on_peers()
-    member._table.take(Table(4), [])
+    member._table.adopt(Table(4), [])
     wire.asks.clear(), member_wire.notes.clear()
     exchange(clock, asker, wire, member, member_wire)
     assert not asker._table_follower._may_rely_on_peers()
--- a/gladedrum/config/operator_token.py
+++ b/gladedrum/config/operator_token.py
@@ -4,7 +4,7 @@
 
 from . import Item
 
-__all__ = ["OPERATOR_TOKEN", "bears_token"]
+__all__ = ["OPERATOR_TOKEN", "is_authorized"]
 
 OPERATOR_TOKEN = Item(
     "operators", "token", "",
@@ -14,7 +14,7 @@
 )  # fmt: skip
 
 
-def bears_token(authorization: str | None, token: str) -> bool:
+def is_authorized(authorization: str | None, token: str) -> bool:
     """Whether an ``Authorization`` header holds the operators' token; False if `token` is empty.
 
     The comparison takes constant time, to prevent timing attacks.
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -36,7 +36,7 @@
     StoreClient,
     Target,
 )
-from ..table import TableInForce, TableSpread, TableState, TableStore
+from ..table import TableInForce, TableReplicator, TableState, TableStore
 from ..table.site import TableSite
 from ..targets import ServiceClient
 from ..targets.owners import TargetOwners
@@ -97,7 +97,7 @@
             reactor, cfg, self._web, self.metrics, self._find_target, self._live_sessions
         )
         self._gateway = OwnerGateway(self.membership, self._peers, self.owners, self.metrics)
-        self._table_spread = TableSpread(
+        self._table_replicator = TableReplicator(
             cfg,
             reactor,
             self.kv,
@@ -184,7 +184,7 @@
     def _tree(self) -> Supervisor:
         platform = [
             Child("directory", self._read_directory),
-            Child("table", self._table_spread.run),
+            Child("table", self._table_replicator.run),
         ]
         peers = [Child("peer server", self._peer_server.run), Child("peers", self._peers.run)]
         targets = [
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -13,7 +13,7 @@
 from ..errors import TargetRefusedError
 from ..outcome import Completed, Failed, NotRun, Outcome, Unknown, outcome_name
 from ..scheduling import Job, Refused
-from ..table import Effective
+from ..table import EffectiveValues
 from ..targets import Piece
 from ..telemetry import Metrics, length_class, request_logger
 from ..telemetry.traces import Traces, context_from_header, header_of_span
@@ -87,7 +87,7 @@
         Estimated length of the prompt.
     prefix : tuple of int
         Digests of the prompt's prefixes; see `prefix_digests`.
-    params : Effective
+    params : EffectiveValues
         Weights and limits of the table that apply to the request.
     sink : Sink
         Receiver of the answer.
@@ -100,7 +100,7 @@
         req: CallerRequest,
         prompt_tokens: int,
         prefix: tuple[int, ...],
-        params: Effective,
+        params: EffectiveValues,
         sink: Sink,
     ):
         self._ctx = ctx
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -149,7 +149,7 @@
             self._handle_gossip,
             self._settings.capacity,
         )
-        registry.on_listed = port.say_hello
+        registry.on_listed = port.announce_box
         registry.on_replaced = self._view.forget_work_of
         return port
 
@@ -175,7 +175,7 @@
             self._beliefs.engines,
             self.name,
             lambda: self._beliefs.coordinators.members() if self._beliefs.knows_peers() else [],
-            self._gossip.tell_report,
+            self._gossip.broadcast_report,
         )
 
     def _make_placer(self, chooser: Chooser) -> Placer:
@@ -301,9 +301,9 @@
         )
         # A box that starts meanwhile in a small fleet finds this one only by its entry.
         self._leave()
-        self._gossip.say_farewell()
+        self._gossip.announce_shutdown()
         await sleep(self._reactor, FAREWELL_S)
-        self._gossip.say_farewell()
+        self._gossip.announce_shutdown()
         _log.info("drained", extra={"in_flight": len(self._in_flight)})
 
     def _leave(self) -> None:
@@ -367,7 +367,7 @@
             task.on_target_restarted(name)
 
     def _handle_gossip(self, message: Gossip, address: tuple[str, int]) -> None:
-        if gossip.is_farewell(message):
+        if gossip.is_shutdown_notice(message):
             self._beliefs.registry.note_ended(message.box, address)
             return
         self._beliefs.registry.note_datagram(message.box, address, message.capacity)
--- a/gladedrum/forward/condemned_page.py
+++ b/gladedrum/forward/condemned_page.py
@@ -9,7 +9,7 @@
 from twisted.web.http import Request
 from twisted.web.resource import Resource
 
-from ..config.operator_token import bears_token
+from ..config.operator_token import is_authorized
 from ..placing.suspicion import Suspicion
 from ..scheduling.suspects import Condemned
 
@@ -41,7 +41,7 @@
 
     def render_DELETE(self, request: Request) -> bytes:
         """Lift a condemned request."""
-        if not bears_token(request.getHeader("authorization"), self._token):
+        if not is_authorized(request.getHeader("authorization"), self._token):
             reason = "a lift must carry the operator's token of the box's settings"
             return _answer(request, HTTPStatus.UNAUTHORIZED, {"reason": reason})
         try:
--- a/gladedrum/forward/tests/test_grey_target.py
+++ b/gladedrum/forward/tests/test_grey_target.py
@@ -76,7 +76,7 @@
 def test_peers_learn_of_an_overdue_request():
     world = plain_world()
     notes = []
-    world.ctx.port.tell_work = notes.append
+    world.ctx.port.broadcast_work = notes.append
     world.caller().send_request(b"body")
     side = world.attempt()
     world.run(0.3)
--- a/gladedrum/gossip/port.py
+++ b/gladedrum/gossip/port.py
@@ -36,7 +36,7 @@
 )
 
 __all__ = ["ENDED", "FAILED", "FIRST_EVENT", "OVERDUE", "PLACED", "WITHDRAWN"]
-__all__ += ["GossipPort", "decode", "encode", "is_farewell"]
+__all__ += ["GossipPort", "decode", "encode", "is_shutdown_notice"]
 
 PLACED, FIRST_EVENT, ENDED, FAILED, WITHDRAWN, OVERDUE = 1, 2, 3, 4, 5, 6
 """The changes of state that a `WorkNote` reports. `WITHDRAWN` ends work without evidence for or
@@ -75,7 +75,7 @@
     return gossip
 
 
-def is_farewell(told: Gossip) -> bool:
+def is_shutdown_notice(told: Gossip) -> bool:
     """Whether the sender shuts down now and this is its last message.
 
     Boxes of earlier versions announce that they are leaving seconds before they shut down, always
@@ -123,7 +123,7 @@
         self._shutting_down = False
         self._flush_scheduled = False
 
-    def tell_work(self, note: WorkNote) -> None:
+    def broadcast_work(self, note: WorkNote) -> None:
         """Send a note of a change of work to all peers.
 
         Placements are sent at once, since peers make their own decisions meanwhile; other changes
@@ -135,24 +135,24 @@
         else:
             self._flush_soon()
 
-    def tell_report(self, note: ReportNote) -> None:
+    def broadcast_report(self, note: ReportNote) -> None:
         """Send a target's report to all peers, batched with other notes."""
         self._reports.append(note)
         self._flush_soon()
 
-    def tell_losses(self, notes: list[LossNote], address: tuple[str, int] | None = None) -> None:
+    def send_losses(self, notes: list[LossNote], address: tuple[str, int] | None = None) -> None:
         """Send which requests were lost with which targets, to one box or to all peers."""
         for first in range(0, len(notes), LOSSES_PER_DATAGRAM):
             part = Gossip(self._box, losses=notes[first : first + LOSSES_PER_DATAGRAM])
             for peer in self._peers() if address is None else [address]:
                 self._send(peer, part)
 
-    def tell_rate(self, note: RateNote) -> None:
+    def broadcast_rate(self, note: RateNote) -> None:
         """Send the rate limit that a target has declared to all peers."""
         for address in self._peers():
             self._send(address, Gossip(self._box, rates=[note]))
 
-    def tell_leaving(self, note: LeavingNote) -> None:
+    def broadcast_leaving(self, note: LeavingNote) -> None:
         """Tell all boxes that a target is leaving.
 
         This includes boxes that receive no notes of work, since these place requests themselves
@@ -161,11 +161,11 @@
         for address in {*self._peers(), *self._all_boxes()}:
             self._send(address, Gossip(self._box, leaving_targets=[note]))
 
-    def tell_spent(self, address: tuple[str, int], note: SpentNote) -> None:
+    def send_spent(self, address: tuple[str, int], note: SpentNote) -> None:
         """Tell the box that enforces a target's rate what was sent there without a place."""
         self._send(address, Gossip(self._box, spent=[note]))
 
-    def say_hello(self) -> None:
+    def announce_box(self) -> None:
         """Announce this box to all listed boxes.
 
         Boxes that read the list before this one was listed learn of it this way.
@@ -176,7 +176,7 @@
         for address in self._all_boxes():
             self._write(address, data)
 
-    def say_farewell(self) -> None:
+    def announce_shutdown(self) -> None:
         """Announce to all peers that this box shuts down now, and send nothing else afterwards.
 
         Otherwise peers would go on asking it for placements, each waiting for the timeout, and
@@ -205,11 +205,11 @@
         """Answer a box that asked what this one knows from the store."""
         self._send(address, Gossip(self._box, vouches=[note]))
 
-    def tell_list(self, address: tuple[str, int], part: ListPart) -> None:
+    def send_list_part(self, address: tuple[str, int], part: ListPart) -> None:
         """Send a part of the list of targets to a box that asked for it."""
         self._send(address, Gossip(self._box, list_parts=[part]))
 
-    def hand_on(self, address: tuple[str, int], part: ConfigurationPart) -> None:
+    def send_configuration_part(self, address: tuple[str, int], part: ConfigurationPart) -> None:
         """Send a part of the configuration to a box that asked for it."""
         self._send(address, Gossip(self._box, configuration_parts=[part]))
 
--- a/gladedrum/placing/members.py
+++ b/gladedrum/placing/members.py
@@ -100,7 +100,7 @@
         """
         if note.targets:
             plan = WorkPlan(note.work_id, tuple(note.targets))
-            self._port.tell_work(note_from_plan(plan, gossip.WITHDRAWN))
+            self._port.broadcast_work(note_from_plan(plan, gossip.WITHDRAWN))
 
     def _abandon(self, work_id: str, asked: _Asked, waited_s: float) -> None:
         self._avoided_until_s[asked.member] = self._clock.seconds() + AVOIDANCE_S
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -157,7 +157,7 @@
             wait_s = choice.first_event_s - (demand.first_due_s - self._clock.seconds())
             return CannotServeInTime(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
         plan = self._chooser.record_choice(work_id, demand, choice)
-        self._port.tell_work(note_from_plan(plan, gossip.PLACED))
+        self._port.broadcast_work(note_from_plan(plan, gossip.PLACED))
         return choice, plan
 
     def _deciders(self, work_id: str, demand: Demand) -> list[str]:
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -164,7 +164,7 @@
         extra = {"target": target, "told_by": told_by, "list_age_s": round(self._targets.age_s, 3)}
         _log.info("target announced that it is leaving", extra=extra)
         if not told_by:
-            self._port.tell_leaving(LeavingNote(target, born))
+            self._port.broadcast_leaving(LeavingNote(target, born))
 
     def _leaving_listed(self) -> dict[str, _Heard]:
         """Return the targets that announced leaving, are still listed and still leaving."""
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -166,7 +166,7 @@
         """Send all known losses to a box."""
         now_s = self._clock.seconds()
         notes = [note_from_loss(loss, now_s) for loss in self._book.shared()]
-        self._port.tell_losses(notes, address)
+        self._port.send_losses(notes, address)
 
     def receive(self, message: Gossip) -> None:
         """Add the losses in a peer's message."""
@@ -184,7 +184,7 @@
 
     def _tell(self, losses: list[Loss]) -> None:
         now_s = self._clock.seconds()
-        self._port.tell_losses([note_from_loss(loss, now_s) for loss in losses])
+        self._port.send_losses([note_from_loss(loss, now_s) for loss in losses])
 
 
 def note_from_loss(loss: Loss, now_s: float) -> LossNote:
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -115,7 +115,7 @@
         is_new = self._view.note_rate(target, per_s, sent_s, now_s)
         if is_new or per_s is not None:
             born = self._view.state(target).born
-            self._port.tell_rate(RateNote(target, born, per_s, now_s - sent_s, 0.0))
+            self._port.broadcast_rate(RateNote(target, born, per_s, now_s - sent_s, 0.0))
 
     def note_call(self, target: str) -> None:
         """Count a call that is sent without a place: a report or an order."""
@@ -128,7 +128,7 @@
         if first == self._coordinators.me or address is None:
             self._book.charge(target, state.born, state.rate.per_s, self._clock.seconds())
         else:
-            self._port.tell_spent(address, SpentNote(target, state.born, state.rate.per_s))
+            self._port.send_spent(address, SpentNote(target, state.born, state.rate.per_s))
 
     def shown(self) -> list[ShownRate]:
         """Return the known rates for operators."""
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -34,7 +34,7 @@
             lambda: list(self.beliefs.targets.entries.values()),
             self.beliefs.coordinators.me,
             lambda: self.beliefs.coordinators.members() if self.beliefs.knows_peers() else [],
-            self.port.tell_report,
+            self.port.broadcast_report,
         )
         self.running.append(start(reader.run()))
         self.running[-1].addErrback(lambda _failure: None)
--- a/gladedrum/table/__init__.py
+++ b/gladedrum/table/__init__.py
@@ -2,7 +2,7 @@
 
 Operators change the table by edits, which are stored in the key-value service. Its rows are
 organisations and classes of requests, its columns are knobs, and every accepted edit makes a new
-revision. `TableFollower` and `TableSpread` bring new revisions into force on each box.
+revision. `TableFollower` and `TableReplicator` bring new revisions into force on each box.
 """
 
 from .core import *
@@ -13,9 +13,9 @@
 from .follow import __all__ as _follow_all
 from .knobs import *
 from .knobs import __all__ as _knobs_all
-from .spread import *
-from .spread import __all__ as _spread_all
+from .replication import *
+from .replication import __all__ as _replication_all
 from .store import *
 from .store import __all__ as _store_all
 
-__all__ = [*_core_all, *_edits_all, *_knobs_all, *_follow_all, *_spread_all, *_store_all]
+__all__ = [*_core_all, *_edits_all, *_knobs_all, *_follow_all, *_replication_all, *_store_all]
--- a/gladedrum/table/core.py
+++ b/gladedrum/table/core.py
@@ -17,7 +17,7 @@
 from ..platform import Revision
 from .knobs import KNOBS, CellValue
 
-__all__ = ["DEFAULT_ROW", "Effective", "Table", "row_names"]
+__all__ = ["DEFAULT_ROW", "EffectiveValues", "Table", "row_names"]
 
 DEFAULT_ROW = "default"
 """The row that applies to all requests, with the lowest precedence."""
@@ -28,7 +28,7 @@
     return (f"organisation:{organisation}", f"class:{request_class}", DEFAULT_ROW)
 
 
-class Effective(dict[str, CellValue]):
+class EffectiveValues(dict[str, CellValue]):
     """The values of all knobs for one request."""
 
     def number(self, knob: str) -> float:
@@ -64,13 +64,13 @@
     era: int = 0
 
     @property
-    def place(self) -> Revision:
+    def full_revision(self) -> Revision:
         """The key by which tables are ordered: first by era, then by revision."""
         return Revision(self.era, self.revision)
 
-    def effective(self, organisation: str, request_class: str) -> Effective:
+    def effective(self, organisation: str, request_class: str) -> EffectiveValues:
         """Return the values of all knobs for a request."""
-        values = Effective({name: knob.default for name, knob in KNOBS.items()})
+        values = EffectiveValues({name: knob.default for name, knob in KNOBS.items()})
         for row in reversed(row_names(organisation, request_class)):
             values.update(self.rows.get(row, {}))
         return values
--- a/gladedrum/table/follow.py
+++ b/gladedrum/table/follow.py
@@ -13,7 +13,7 @@
 from ..platform import NEVER, HistoryGoneError, Revision, StoreClient
 from ..utils import sleep, start
 from .edits import lost_edits
-from .spread import TableInForce
+from .replication import TableInForce
 from .store import HEAD_KEY, TableStore
 
 __all__ = ["TableFollower"]
@@ -74,13 +74,13 @@
         if pending is not None:
             pending.cancel()
 
-    def take_peer_revision(self, revision: Revision) -> None:
+    def note_peer_revision(self, revision: Revision) -> None:
         """Record the revision that a peer has in force."""
         self._informed_s = self._clock.seconds()
         if revision.number == 0:
             self._in_force.note_empty(revision.era)
         self._peer_revision = max(self._peer_revision, revision)
-        if revision <= self._in_force.table.place:
+        if revision <= self._in_force.table.full_revision:
             self._in_force.mark_confirmed()
 
     async def run(self) -> None:
@@ -100,18 +100,18 @@
 
     def _may_rely_on_peers(self) -> bool:
         informed_recently = self._clock.seconds() - self._informed_s < WATCH_TIMEOUT_S
-        current = self._peer_revision <= self._in_force.table.place
+        current = self._peer_revision <= self._in_force.table.full_revision
         return self._follows_peers() and informed_recently and current
 
     async def _read_and_watch(self) -> None:
-        accepted = self._in_force.held
+        accepted = self._in_force.accepted_edits
         news = await self._store.read(self._in_force.table, self._in_force.edits)
         if lost_edits(accepted, news.head):
             # The table in force stays; the next read gets the table with the restored edits.
             count = await self._store.restore_lost_edits(accepted)
             _log.warning("lost edits of the table restored", extra={"edits": count})
             return
-        self._in_force.take(news.table, news.head.edits)
+        self._in_force.adopt(news.table, news.head.edits)
         self._informed_s = self._clock.seconds()
         if not self._first_read_done:
             # A box that has just started does not know yet whether it has peers to follow. Without
--- a/gladedrum/table/spread.py
+++ b/gladedrum/table/replication.py
@@ -23,7 +23,7 @@
 from .edits import Edit, Head, Snapshot, apply_edits, lost_edits
 from .store import HEAD_KEY, TableStore
 
-__all__ = ["PULL_INTERVAL", "WATCHERS", "TableInForce", "TableSpread", "TableState"]
+__all__ = ["PULL_INTERVAL", "WATCHERS", "TableInForce", "TableReplicator", "TableState"]
 
 WATCHERS = Item(
     "table", "watchers", 2, "How many boxes of each data hall watch the key-value service.",
@@ -96,7 +96,7 @@
         return self._clock.seconds() - self._confirmed_s
 
     @property
-    def held(self) -> list[Edit]:
+    def accepted_edits(self) -> list[Edit]:
         """The newest edits known to be accepted: those in the table, then those not in it yet."""
         return [*self._edits, *self._accepted.values()]
 
@@ -118,10 +118,10 @@
         if all(known.edit_id != edit.edit_id for known in self._edits):
             self._accepted[edit.edit_id] = edit
 
-    def take(self, table: Table, edits: Sequence[Edit]) -> None:
+    def adopt(self, table: Table, edits: Sequence[Edit]) -> None:
         """Bring a table into force if it is newer, with the newest edits in it."""
         self.mark_confirmed()
-        if table.place > self.table.place:
+        if table.full_revision > self.table.full_revision:
             self.table = table
             self._edits = list(edits)
             for edit in edits:
@@ -152,15 +152,15 @@
         update = _decode(message)
         if update.snapshot is not None:
             rows = update.snapshot.rows
-            self.take(Table(update.snapshot.revision, rows, self.table.era), update.edits)
+            self.adopt(Table(update.snapshot.revision, rows, self.table.era), update.edits)
         elif update.edits and update.edits[0].revision > self.table.revision + 1:
             # An answer to an outdated request: applying it would skip edits.
             _log.warning("table update dropped: it skips revisions")
         else:
-            self.take(apply_edits(self.table, update.edits), [*self._edits, *update.edits][-100:])
+            self.adopt(apply_edits(self.table, update.edits), [*self._edits, *update.edits][-100:])
 
 
-class TableSpread:
+class TableReplicator:
     """Keeps a `TableInForce` up to date, by watching the store or by pulling from peers.
 
     Parameters
@@ -223,10 +223,10 @@
         """Read the table, and watch it for as long as this box is a watcher."""
         try:
             news = await self._store.read(self._in_force.table, self._in_force.edits)
-            if lost_edits(self._in_force.held, news.head):
-                await self._store.restore_lost_edits(self._in_force.held)
+            if lost_edits(self._in_force.accepted_edits, news.head):
+                await self._store.restore_lost_edits(self._in_force.accepted_edits)
                 return
-            self._in_force.take(news.table, news.head.edits)
+            self._in_force.adopt(news.table, news.head.edits)
             revision = news.kv_revision
             while self._is_watcher():
                 answer = await self._kv.watch(HEAD_KEY, revision, _WATCH_TIMEOUT_S)
@@ -242,7 +242,7 @@
         head = _decode_head(change.value)
         known = self._in_force.table
         if known.revision >= head.base:
-            self._in_force.take(apply_edits(known, head.edits), head.edits)
+            self._in_force.adopt(apply_edits(known, head.edits), head.edits)
 
     async def _pull(self) -> None:
         peer = self._choose_peer()
--- a/gladedrum/table/site.py
+++ b/gladedrum/table/site.py
@@ -8,7 +8,7 @@
 from klein import Klein
 from twisted.web.http import Request
 
-from ..config.operator_token import bears_token
+from ..config.operator_token import is_authorized
 from ..errors import Finding, KVUnavailableError
 from ..utils import start
 from . import (
@@ -118,7 +118,7 @@
         return _result(request, result)
 
     def _is_allowed(self, request: Request) -> bool:
-        return bears_token(request.getHeader("authorization"), self._token)
+        return is_authorized(request.getHeader("authorization"), self._token)
 
 
 def _result(request: Request, result: EditResult) -> bytes:
--- a/gladedrum/table/tests/test_edits.py
+++ b/gladedrum/table/tests/test_edits.py
@@ -69,7 +69,7 @@
     sender, receiver = TableInForce(clock), TableInForce(clock)
     messages = [b""]
     for number, table in enumerate(tables):
-        sender.take(table, edits[max(0, number - 3) : number])
+        sender.adopt(table, edits[max(0, number - 3) : number])
         messages.append(sender.message_for(data.draw(st.integers(0, number))))
     highest = 0
     for message in data.draw(st.permutations(messages * 2)):
--- a/gladedrum/table/tests/test_follow.py
+++ b/gladedrum/table/tests/test_follow.py
@@ -51,7 +51,7 @@
         store = TableStore(self.kv)
         await store.edit([cell], 0, "somebody", "a trial")
         news = await store.read(in_force.table)
-        in_force.take(news.table, news.head.edits)
+        in_force.adopt(news.table, news.head.edits)
         self.service.write(HEAD_KEY, b"{no table")
         with self.assertRaises(msgspec.MsgspecError):
             # The error ends the follower; on a box, the supervisor restarts it.
--- a/gladedrum/table/tests/test_from_copy.py
+++ b/gladedrum/table/tests/test_from_copy.py
@@ -67,7 +67,7 @@
         await self.until_rows([*boxes, new_box], **cells)
         # Rows from before the restore match at once, but boxes notice the new era only later.
         for _ in range(COMPARE_STEPS):
-            if len({box.table.place for box in (*boxes, new_box)}) == 1:
+            if len({box.table.full_revision for box in (*boxes, new_box)}) == 1:
                 return
             await sleep(reactor, COMPARE_STEP_S)
         self.fail("boxes have tables of different eras or revisions")
