--- a/gladedrum/connections/calls.py
+++ b/gladedrum/connections/calls.py
@@ -5,7 +5,7 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-from ..errors import TargetBrokenError, TargetLeftAloneError, TargetNotListeningError
+from ..errors import TargetBackoffError, TargetBrokenError, TargetNotListeningError
 from ..fleet import TargetEntry
 from ..platform.orders import TargetCall
 from .messages import AnswerBroken, AnswerData, AnswerEnd, AnswerHead, Mailbox, TimedOut
@@ -36,7 +36,7 @@
 
     Raises
     ------
-    TargetLeftAloneError
+    TargetBackoffError
         If the target has asked not to receive this kind of call; nothing was sent.
     TargetNotListeningError
         If the target's address refuses connections.
@@ -61,7 +61,7 @@
                 case AnswerEnd():
                     return CallAnswer(status, b"".join(chunks))
                 case AnswerBroken(withheld=True, reason=reason):
-                    raise TargetLeftAloneError(f"{entry.name}: {reason}")
+                    raise TargetBackoffError(f"{entry.name}: {reason}")
                 case AnswerBroken(refused=True, reason=reason):
                     raise TargetNotListeningError(f"{entry.name}: {reason}")
                 case AnswerBroken(reason=reason):
--- a/gladedrum/ctl/explain.py
+++ b/gladedrum/ctl/explain.py
@@ -6,7 +6,7 @@
 
 from .command import Command, ExitCode, print_json
 from .logs import add_log_arguments, read_logs
-from .story import Timeline, build_timeline
+from .timeline import Timeline, build_timeline
 
 __all__ = ["COMMANDS"]
 
--- a/gladedrum/ctl/logs.py
+++ b/gladedrum/ctl/logs.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from .story import LogRow, parse_log_lines
+from .timeline import LogRow, parse_log_lines
 
 __all__ = ["add_log_arguments", "read_logs"]
 
--- a/gladedrum/ctl/main.py
+++ b/gladedrum/ctl/main.py
@@ -9,7 +9,7 @@
 from ..errors import ConfigError, GladedrumError
 from ..replay import TraceError
 from ..scheduling import UnknownPolicyError
-from ..utils import keep_elapsed_time, start
+from ..utils import start, use_elapsed_clock
 from . import condemned, explain, report, settings, status, table, traces, trial
 from .command import EXIT_CODES_HELP, Command, ExitCode
 
@@ -33,7 +33,7 @@
     codes: list[int] = []
 
     async def run(reactor) -> None:
-        keep_elapsed_time(reactor)
+        use_elapsed_clock(reactor)
         codes.append(await _run(args, reactor))
 
     try:
--- a/gladedrum/ctl/report.py
+++ b/gladedrum/ctl/report.py
@@ -7,9 +7,9 @@
 
 from .command import Command, ExitCode, print_json, print_table
 from .logs import add_log_arguments, read_logs
-from .service import ServedRequest, served_requests
-from .service_plot import plot_service
-from .service_tables import GroupFigures, ServiceReport, make_report
+from .report_plot import plot_service
+from .report_tables import GroupFigures, ServiceReport, make_report
+from .served_requests import ServedRequest, served_requests
 
 __all__ = ["COMMANDS"]
 
--- a/gladedrum/ctl/service_plot.py
+++ b/gladedrum/ctl/report_plot.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from .service import ServedRequest
+from .served_requests import ServedRequest
 
 __all__ = ["plot_service"]
 
--- a/gladedrum/ctl/service_tables.py
+++ b/gladedrum/ctl/report_tables.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import NamedTuple, TypedDict
 
-from .service import ServedRequest, Verdict
-from .story import LogRow
+from .served_requests import ServedRequest, Verdict
+from .timeline import LogRow
 
 __all__ = ["CauseFigures", "DeciderFigures", "GroupFigures", "ServiceReport", "make_report"]
 
--- a/gladedrum/ctl/service.py
+++ b/gladedrum/ctl/served_requests.py
@@ -15,7 +15,7 @@
 from typing import Any, NamedTuple
 
 from ..scheduling.expected_loss import LATE_LOSS, worth_of
-from .story import LogRow, time_of_day_s
+from .timeline import LogRow, time_of_day_s
 
 __all__ = ["ServedRequest", "Verdict", "served_requests"]
 
--- a/gladedrum/ctl/tests/test_explain.py
+++ b/gladedrum/ctl/tests/test_explain.py
@@ -3,7 +3,7 @@
 import json
 
 from gladedrum.ctl.main import _parser, _run
-from gladedrum.ctl.story import build_timeline, parse_log_lines
+from gladedrum.ctl.timeline import build_timeline, parse_log_lines
 from gladedrum.utils import start
 
 
--- a/gladedrum/ctl/tests/test_report.py
+++ b/gladedrum/ctl/tests/test_report.py
@@ -6,9 +6,9 @@
 import pytest
 
 from gladedrum.ctl.main import _parser, _run
-from gladedrum.ctl.service import Verdict, served_requests
-from gladedrum.ctl.service_tables import make_report
-from gladedrum.ctl.story import parse_log_lines
+from gladedrum.ctl.report_tables import make_report
+from gladedrum.ctl.served_requests import Verdict, served_requests
+from gladedrum.ctl.timeline import parse_log_lines
 from gladedrum.utils import start
 
 
--- a/gladedrum/daemon/main.py
+++ b/gladedrum/daemon/main.py
@@ -20,7 +20,7 @@
 from ..errors import ConfigError
 from ..forward import callers_address, forwards
 from ..telemetry import configure_logging
-from ..utils import keep_elapsed_time, start
+from ..utils import start, use_elapsed_clock
 from ..utils.listening import CannotListenError, open_early_socket
 
 __all__ = ["main"]
@@ -43,7 +43,7 @@
         settings are invalid.
     """
     args = _parser().parse_args(argv)
-    keep_elapsed_time(reactor)
+    use_elapsed_clock(reactor)
     # Importing a module declares its settings, so import the box before loading them.
     factory = _forwarding_factory(args) if forwards(args.config) else _openai_factory()
     # Exempt the imported modules from garbage collection: they are never freed.
--- a/gladedrum/errors.py
+++ b/gladedrum/errors.py
@@ -10,8 +10,8 @@
     "KVConflictError",
     "KVUnavailableError",
     "KVUnknownError",
+    "TargetBackoffError",
     "TargetBrokenError",
-    "TargetLeftAloneError",
     "TargetNotListeningError",
     "TargetRefusedError",
     "TargetUnreachableError",
@@ -85,7 +85,7 @@
     """The connection to the target broke, or its answer does not match the request."""
 
 
-class TargetLeftAloneError(TargetBrokenError):
+class TargetBackoffError(TargetBrokenError):
     """The target has asked for a backoff, so nothing was sent."""
 
 
--- a/gladedrum/forward/request_task.py
+++ b/gladedrum/forward/request_task.py
@@ -14,7 +14,7 @@
 from .. import gossip
 from ..connections.caller_conn import CallerConnection
 from ..connections.messages import CallerGone, CallerRequest, Mailbox
-from ..errors import TargetLeftAloneError, TargetNotListeningError
+from ..errors import TargetBackoffError, TargetNotListeningError
 from ..outcome import Failed, NotRun, Outcome, Unknown
 from ..placing.choosing import AllTargetsClosed, CannotServeInTime, Choice, CondemnedRequest, Demand
 from ..placing.reports import read_report
@@ -358,7 +358,7 @@
     async def _ask_report(self, silent: Attempt) -> None:
         try:
             report = await read_report(self._ctx.clock, self._ctx.pool, silent.choice.main)
-        except TargetLeftAloneError:
+        except TargetBackoffError:
             return
         except TargetNotListeningError:
             report = None
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -12,7 +12,7 @@
 
 from ..connections.calls import call_target
 from ..connections.target_pool import TargetPool
-from ..errors import TargetBrokenError, TargetLeftAloneError, TargetNotListeningError
+from ..errors import TargetBackoffError, TargetBrokenError, TargetNotListeningError
 from ..fleet import TargetEntry, TargetReport
 from ..gossip.wire.ttypes import ReportNote
 from ..platform.codecs import MalformedError, decode_report
@@ -146,7 +146,7 @@
         asked_s = self._clock.seconds()
         try:
             report = await read_report(self._clock, self._pool, entry)
-        except TargetLeftAloneError:
+        except TargetBackoffError:
             return
         except TargetNotListeningError:
             report = None
@@ -174,7 +174,7 @@
 
     Raises
     ------
-    TargetLeftAloneError
+    TargetBackoffError
         If the target asked this box to rest.
     TargetNotListeningError
         If its address refuses connections.
@@ -182,7 +182,7 @@
     try:
         answer = await call_target(clock, pool, entry, report_call(), TIMEOUT_S)
         return decode_report(answer.body) if answer.ok else None
-    except (TargetLeftAloneError, TargetNotListeningError):
+    except (TargetBackoffError, TargetNotListeningError):
         raise
     except (TargetBrokenError, MalformedError) as exc:
         _log.debug("no report", extra={"target": entry.name, "reason": str(exc)})
--- a/gladedrum/standins/_http.py
+++ b/gladedrum/standins/_http.py
@@ -11,7 +11,7 @@
 from twisted.internet.interfaces import IListeningPort
 from twisted.web.server import Request, Site
 
-from ..utils import keep_elapsed_time
+from ..utils import use_elapsed_clock
 
 __all__ = ["Standin", "json_body", "json_reply", "listen", "port_of", "run_standin", "sleep"]
 
@@ -69,7 +69,7 @@
     parser.add_argument("--port", type=int, default=0, help="TCP port; 0 lets the system choose")
     add_arguments(parser)
     args = parser.parse_args()
-    keep_elapsed_time(reactor)
+    use_elapsed_clock(reactor)
     standin = make(args)
 
     def announce(listening: IListeningPort) -> None:
--- a/gladedrum/utils/clock.py
+++ b/gladedrum/utils/clock.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.interfaces import IReactorTime
 
-__all__ = ["elapsed_s", "keep_elapsed_time"]
+__all__ = ["elapsed_s", "use_elapsed_clock"]
 
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
@@ -19,7 +19,7 @@
     return time.clock_gettime(_CLOCK)
 
 
-def keep_elapsed_time(reactor: IReactorTime) -> None:
+def use_elapsed_clock(reactor: IReactorTime) -> None:
     """Make a reactor use `elapsed_s` as its clock; call this before scheduling anything on it.
 
     By default, Twisted uses the wall clock. The kernel times the wait for the next event on the
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -11,7 +11,7 @@
 
 from twisted.internet import reactor
 
-from gladedrum.utils import keep_elapsed_time, sleep, start
+from gladedrum.utils import sleep, start, use_elapsed_clock
 
 from .boxes import FREE_BOUND_S
 from .callers import Caller, DeadlyCaller, StreamCaller
@@ -45,7 +45,7 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Return 0 if no promise was broken."""
     args = _parser().parse_args(argv)
-    keep_elapsed_time(reactor)
+    use_elapsed_clock(reactor)
     seeds = [*REGRESSIONS] if args.regressions else _seeds(args)
     status: list[int] = []
     reactor.callWhenRunning(lambda: start(_play_all(args, seeds, status)))
