--- a/gladedrum/scheduling/__init__.py
+++ b/gladedrum/scheduling/__init__.py
@@ -1,4 +1,17 @@
-"""Scheduling decisions: which request runs where and when. Free of I/O; callers pass the time."""
+"""Scheduling decisions: which request runs where and when. Free of I/O; the time is passed in.
+
+The package has two independent parts.
+
+- Queues: the owner of a target queues requests and reserves memory for them (`queue`, `jobs`,
+  `policies`, `segments`, `quotes`, `decisions`). This namespace exports these modules.
+- Placement of forwarded requests (`expected_loss`, `placement_policies`,
+  `engine_model`, `ledger`, `arrivals`), with rate limits (`rates`), suspects (`suspects`) and the
+  waiting times for coordinators (`questions`). These modules are imported by name.
+
+An *engine* is the inference engine of a target. The *entry box* of a request is the box that
+received it from the caller. The placement modules say *reading* for prefill and *writing* for
+decode, see `engine_model`.
+"""
 
 from .decisions import *
 from .decisions import __all__ as _decisions_all
--- a/gladedrum/scheduling/arrivals.py
+++ b/gladedrum/scheduling/arrivals.py
@@ -2,6 +2,7 @@
 
 Reading a prompt stretches the passes of its engine, and so the pauses of the answers beside it.
 Placement uses the recent arrival rate to estimate how much later long prompts will delay an answer.
+The terms are those of `engine_model`.
 """
 
 import math
@@ -24,7 +25,7 @@
 
 
 RATE_CACHE_S = 0.1
-"""How long a computed rate is reused, in seconds. A box that decides for a large fleet needs it a
+"""How long a computed rate is reused, in seconds. A coordinator of a large fleet needs it a
 hundred times a second, and it changes little in this time."""
 
 
@@ -61,7 +62,7 @@
             self._arrivals.append(_Arrival(now_s, parts, part_tokens))
 
     def parts_per_s(self, traits: EngineTraits, longer_than_s: float, now_s: float) -> float:
-        """Return the recent rate of parts whose reading takes longer than a limit, per second."""
+        """Return the recent parts per second that take longer than `longer_than_s` to read."""
         key = (traits, longer_than_s)
         known = self._rates.get(key)
         if known is not None and now_s - known.at_s < RATE_CACHE_S:
--- a/gladedrum/scheduling/decisions.py
+++ b/gladedrum/scheduling/decisions.py
@@ -1,4 +1,4 @@
-"""Results of scheduling decisions, and the inputs that owners and entry boxes exchange for them."""
+"""Results of offering a request to a target's queue, and the data that policies decide by."""
 
 from typing import NamedTuple
 
@@ -57,8 +57,8 @@
     prefill_s : float
         Duration of its prefill alone, in seconds.
     overtaken_per_s : float
-        Sum of the inverse prefill durations of the requests that it would overtake. Times
-        `prefill_s`, this is the sum of their relative delays.
+        Sum of the inverse prefill durations of the requests that it would overtake.
+        Multiplied by `prefill_s`, this is the sum of their relative delays.
     """
 
     first_token_s: float
@@ -67,7 +67,7 @@
 
 
 class Quote(NamedTuple):
-    """A target owner's offer for a request.
+    """Expected time and cost of a request on a target, from its owner, which does not queue it yet.
 
     Parameters
     ----------
--- a/gladedrum/scheduling/engine_model.py
+++ b/gladedrum/scheduling/engine_model.py
@@ -6,7 +6,8 @@
 tokens per step. Reading therefore stretches the passes and with them the pauses between events, far
 more than the number of writers does. The cost of reading has a term for each *pair* of a token and
 an earlier one (attention). A prompt may be read in parts by several engines; these parts are
-*joint*.
+*joint*. One of these engines also writes the answer; the others are its *helpers*. The caller
+receives each event when its pass ends; the time between two events is a *pause*.
 
 Examples
 --------
@@ -51,7 +52,8 @@
     stride : int
         Steps of a pass with writers, and tokens of an event.
     hop_s : float
-        Added to each step of a request whose memory is spread over several engines.
+        Time added to each step of a request whose memory is spread over several engines. The
+        predictions do not include it.
     report_lag_s : float
         Maximum age of a load report when it is sent.
     usual_answer : float
@@ -150,7 +152,7 @@
     """The state of an engine while its coming passes are simulated.
 
     All lists are indexed by the position of a request in `works`. Plain lists and a single loop
-    over the requests keep a pass cheap: a box that decides for a large fleet simulates thousands a
+    over the requests keep a pass cheap: a coordinator of a large fleet simulates thousands a
     second.
     """
 
@@ -201,7 +203,7 @@
             free_slots -= 1
             if not free_slots:
                 break
-        # The same order as `reading_order`.
+        # The same order as `reading_order`, without its further loops over the requests.
         joint.reverse()
         return writers, joint + whole
 
--- a/gladedrum/scheduling/expected_loss.py
+++ b/gladedrum/scheduling/expected_loss.py
@@ -42,9 +42,9 @@
 
 DEFAULT_QUOTED_ENGINES = 18
 """Engines that are simulated for most requests. This bounds the time of a decision, since a few
-boxes decide for a large fleet."""
+coordinators decide for a large fleet."""
 
-QUOTED_ENGINES_PER_PART = 1.5
+SIMULATED_ENGINES_PER_PART = 1.5
 """Engines that are simulated for each part of a prompt that needs many. Half of the shortlist is
 idle, so this finds nearly one idle engine per part."""
 
@@ -53,25 +53,25 @@
 engine that can fail."""
 
 IDLE_COST = 0.04
-"""Cost of an idle engine, which a long prompt may need next."""
+"""Cost of an idle engine, which a long prompt may need next, in units of worth."""
 
 REMOTE_HALL_COST = 0.01
-"""Cost of an engine in another data hall."""
+"""Cost of an engine in another data hall, in units of worth."""
 
 CONNECT_COST = 0.02
-"""Cost of an engine to which the sending box has no idle connection: a round trip, work on both
-sides and one of the connections that the engine accepts."""
+"""Cost of an engine to which the box that sends the request has no idle connection, in units of
+worth: a round trip, work on both sides and one of the connections that the engine accepts."""
 
 MAX_EXTRA_CONNECTED = 4
-"""Engines added to the shortlist because the box is connected to them."""
+"""Engines added to the shortlist because the box that sends the request is connected to them."""
 
 MARGIN = 0.9
-"""A limit counts as missed with probability one half at this share of it, as reports and the model
-are inexact."""
+"""A predicted time of this share of its limit misses the limit with probability one half. The share
+is below 1 because reports and the model are inexact."""
 
 SOFTNESS = 0.09
-"""Width of the logistic curve by which the probability of missing a limit rises, as a share of the
-limit."""
+"""Scale of the logistic curve by which the probability of missing a limit rises with the predicted
+time, as a share of the limit."""
 
 DELAY_COST_PER_S = 0.02
 """Cost of each second until the first event, as a share of the worth: prefers the earlier of two
@@ -88,9 +88,9 @@
     ----------
     prompt_tokens, answer_tokens : float
         Length of the prompt, and expected length of the answer.
-    value : float
+    worth : float
         Its worth if it is on time, see `worth_of`.
-    first_due_s : float
+    first_due_in_s : float
         Seconds from now until its first event is due.
     pause_limit_s : float
         Objective for the longest pause between events, in seconds.
@@ -101,8 +101,8 @@
 
     prompt_tokens: float
     answer_tokens: float
-    value: float
-    first_due_s: float
+    worth: float
+    first_due_in_s: float
     pause_limit_s: float
     caller_leaves_after_s: float = float("inf")
 
@@ -122,12 +122,12 @@
     failure_chance : float
         Probability that it fails a request.
     in_other_hall : bool
-        Whether it is in another data hall than the sending box.
+        Whether it is in another data hall than the box that sends the request.
     unaccounted_tokens : float
-        Memory in use by its report but not in its ledger. It is taken for a long prompt that is
-        still to be read.
+        Memory in use according to its report but not in its ledger. It is taken for a long prompt
+        that is still to be read.
     connected : bool
-        Whether the sending box has an idle connection to it.
+        Whether the box that sends the request has an idle connection to it.
     may_help : bool
         Whether it may read a part of a prompt that another engine answers.
     """
@@ -159,7 +159,8 @@
     part_tokens : int
         Length of each part.
     reserved : bool
-        Whether the helpers must reserve memory because no single engine holds the whole prompt.
+        Whether the helpers must reserve memory because the answering engine does not hold the
+        whole prompt.
     loss : float
         Expected loss of worth, over all requests concerned.
     first_event_s : float
@@ -181,19 +182,19 @@
 
 
 class _EngineState(NamedTuple):
-    """What all quotes of an engine for one request share.
+    """What all simulations of an engine for one request share.
 
     Parameters
     ----------
     candidate : Candidate
         The engine.
     cost : float
-        Cost of this engine that does not depend on the number of parts.
+        The part of its cost that is the same for any number of parts.
     rows : list of LedgerRow
         The requests on it.
     present : list of Work
         Their remaining work, and the unaccounted work.
-    before : list of float
+    losses_before : list of float
         Expected loss of each of `rows` without the new request.
     """
 
@@ -201,10 +202,10 @@
     cost: float
     rows: list[LedgerRow]
     present: list[Work]
-    before: list[float]
+    losses_before: list[float]
 
 
-class _Quote(NamedTuple):
+class _EngineOutcome(NamedTuple):
     """The loss that a request causes on one engine, and the prediction for the request itself."""
 
     candidate: Candidate
@@ -235,7 +236,7 @@
     `long_prompt_arrivals` holds the recent long prompts, from which the interference of later
     ones is estimated. Of engines with equal cost, the first in `candidates` is taken.
     """
-    shortlist = _shortlist(candidates, _engines_to_quote(traits, job))
+    shortlist = _shortlist(candidates, _engines_to_simulate(traits, job))
     interference_loss = _exposure(
         traits, candidates, job, now_s, long_prompt_arrivals or LongPromptArrivals()
     )
@@ -251,22 +252,22 @@
     )
 
 
-def _engines_to_quote(traits: EngineTraits, job: Job) -> int:
+def _engines_to_simulate(traits: EngineTraits, job: Job) -> int:
     """Return how many engines to simulate: more for prompts that need many parts."""
     parts = _min_parts(traits, job)
     if job.prompt_tokens >= MIN_SPLIT_PROMPT_TOKENS:
         parts = max(parts, min(_parts_to_be_on_time(traits, job), PART_COUNTS[-1]))
-    return max(DEFAULT_QUOTED_ENGINES, math.ceil(QUOTED_ENGINES_PER_PART * parts))
+    return max(DEFAULT_QUOTED_ENGINES, math.ceil(SIMULATED_ENGINES_PER_PART * parts))
 
 
 def _parts_to_be_on_time(traits: EngineTraits, job: Job) -> float:
-    """Return in how many parts idle engines read a prompt with time to spare."""
-    wanted_s = SEARCH_START_SHARE * job.first_due_s
+    """Return the number of parts, not rounded, that idle engines read well before the due time."""
+    wanted_s = SEARCH_START_SHARE * job.first_due_in_s
     return read_time_s(traits, job.prompt_tokens) / wanted_s if wanted_s > 0 else math.inf
 
 
 def _search_start(traits: EngineTraits, job: Job, counts: Sequence[int]) -> int:
-    """Return the index of the fewest parts with which idle engines are on time."""
+    """Return the index of the smallest number of parts that exceeds `_parts_to_be_on_time`."""
     wanted = _parts_to_be_on_time(traits, job)
     enough = (i for i, parts in enumerate(counts) if parts > wanted)
     return next(enough, len(counts) - 1)
@@ -324,9 +325,10 @@
 
 
 def _backlog_key(candidate: Candidate) -> tuple[float, int]:
+    """Return the sort key of an engine: its unread tokens, weighted by pace and failures."""
     unread = candidate.unaccounted_tokens + candidate.ledger.unread
-    slow = unread * candidate.pace / max(0.01, 1 - candidate.failure_chance)
-    return slow, len(candidate.ledger.rows)
+    weighted_tokens = unread * candidate.pace / max(0.01, 1 - candidate.failure_chance)
+    return weighted_tokens, len(candidate.ledger.rows)
 
 
 def _min_parts(traits: EngineTraits, job: Job) -> int:
@@ -350,9 +352,9 @@
 ) -> Callable[[Candidate], float]:
     """Return a function that gives the loss expected from later long prompts on an engine.
 
-    A long prompt takes the engines where it costs least. It therefore delays this request once more
-    parts of long prompts arrive during its answer than there are engines with less worth on them.
-    The parts are assumed to arrive as a Poisson process.
+    Each part of a long prompt is assumed to take the engine with the least worth on it. It
+    therefore delays this request only if at least as many parts arrive during the answer as there
+    are cheaper engines and this one. The parts are assumed to arrive as a Poisson process.
     """
     per_s = long_prompt_arrivals.parts_per_s(traits, job.pause_limit_s, now_s)
     if not per_s:
@@ -362,20 +364,20 @@
     ordered = sorted([candidate.ledger.total_worth for candidate in candidates])
 
     def interference_loss(candidate: Candidate) -> float:
-        cheaper_engines = bisect.bisect_left(ordered, candidate.ledger.total_worth + job.value)
-        return LATE_LOSS * job.value * probabilities[cheaper_engines - 1]
+        cheaper_engines = bisect.bisect_left(ordered, candidate.ledger.total_worth + job.worth)
+        return LATE_LOSS * job.worth * probabilities[cheaper_engines - 1]
 
     return interference_loss
 
 
 def _chances_of_at_least(mean: float, highest: int) -> list[float]:
     """Return the probabilities that a Poisson count is at least 1, 2, ... `highest`."""
-    exactly_count = math.exp(-mean)
+    probability_of_count = math.exp(-mean)
     probabilities, remaining = [], 1.0
     for count in range(1, highest + 1):
-        remaining -= exactly_count
+        remaining -= probability_of_count
         probabilities.append(max(0.0, remaining))
-        exactly_count *= mean / count
+        probability_of_count *= mean / count
     return probabilities
 
 
@@ -389,27 +391,27 @@
     part_tokens = math.ceil(job.prompt_tokens / parts)
     total_tokens = job.prompt_tokens + job.answer_tokens
     work = Work(part_tokens, job.answer_tokens, pair_share=float(parts))
-    quotes = sorted(
+    outcomes = sorted(
         (
-            _quote(traits, engine, work, now_s)
+            _simulate(traits, engine, work, now_s)
             for engine in engines
             if parts > 1 or engine.candidate.tokens + total_tokens <= traits.memory_tokens
         ),
-        key=lambda quote: quote.loss + _job_loss(job, quote.prediction),
+        key=lambda outcome: outcome.loss + _job_loss(job, outcome.prediction),
     )
     if total_tokens > traits.memory_tokens:
-        return _select_engines(traits, quotes, job, parts, reserved=True)
-    # The fallback avoids waiting for one engine with nearly all of its memory free.
-    found = _select_engines(traits, quotes, job, parts, reserved=False)
+        return _select_engines(traits, outcomes, job, parts, reserved=True)
+    # If no engine has enough free memory for the whole prompt, each engine holds its part.
+    found = _select_engines(traits, outcomes, job, parts, reserved=False)
     return found or (
-        _select_engines(traits, quotes, job, parts, reserved=True) if parts > 1 else None
+        _select_engines(traits, outcomes, job, parts, reserved=True) if parts > 1 else None
     )
 
 
 def _select_engines(
-    traits: EngineTraits, quotes: Sequence[_Quote], job: Job, parts: int, reserved: bool
+    traits: EngineTraits, outcomes: Sequence[_EngineOutcome], job: Job, parts: int, reserved: bool
 ) -> Placement | None:
-    """Choose the cheapest quoted engines with enough memory; None if there are too few.
+    """Choose the cheapest simulated engines with enough memory; None if there are too few.
 
     If `reserved`, each engine holds its part of the prompt, else the answering engine holds all of
     it.
@@ -417,22 +419,24 @@
     part_tokens = math.ceil(job.prompt_tokens / parts)
     total_tokens = job.prompt_tokens + job.answer_tokens
     held = part_tokens + job.answer_tokens if reserved else total_tokens
-    answering = _with_free_memory(traits, quotes, held)
-    if not answering:
+    can_answer = _with_free_memory(traits, outcomes, held)
+    if not can_answer:
         return None
-    main = answering[0]
-    others = [quote for quote in quotes if quote is not main and quote.candidate.may_help]
+    answering = can_answer[0]
+    others = [
+        outcome for outcome in outcomes if outcome is not answering and outcome.candidate.may_help
+    ]
     helpers = _with_free_memory(traits, others, part_tokens if reserved else 0)[: parts - 1]
     if len(helpers) < parts - 1:
         return None
-    chosen = [main, *helpers]
-    first_s = max(quote.prediction.first_event_s for quote in chosen)
-    prediction = Prediction(first_s, main.prediction.pause_s)
-    names = tuple(quote.candidate.name for quote in helpers)
+    chosen = [answering, *helpers]
+    first_s = max(outcome.prediction.first_event_s for outcome in chosen)
+    prediction = Prediction(first_s, answering.prediction.pause_s)
+    names = tuple(outcome.candidate.name for outcome in helpers)
     loss = _total_loss(job, chosen, prediction)
-    abandoned = _chance_late(first_s, job.caller_leaves_after_s)
+    abandoned = _chance_exceeded(first_s, job.caller_leaves_after_s)
     return Placement(
-        main.candidate.name,
+        answering.candidate.name,
         names,
         part_tokens,
         reserved,
@@ -444,20 +448,20 @@
 
 
 def _with_free_memory(
-    traits: EngineTraits, quotes: Sequence[_Quote], tokens: float
-) -> list[_Quote]:
+    traits: EngineTraits, outcomes: Sequence[_EngineOutcome], tokens: float
+) -> list[_EngineOutcome]:
     limit = traits.memory_tokens
-    return [quote for quote in quotes if quote.candidate.tokens + tokens <= limit]
+    return [outcome for outcome in outcomes if outcome.candidate.tokens + tokens <= limit]
 
 
-def _total_loss(job: Job, chosen: Sequence[_Quote], prediction: Prediction) -> float:
+def _total_loss(job: Job, chosen: Sequence[_EngineOutcome], prediction: Prediction) -> float:
     """Return the expected loss of all requests on the chosen engines and of the new one."""
-    any_failure_chance = 1 - math.prod(1 - quote.candidate.failure_chance for quote in chosen)
+    any_failure_chance = 1 - math.prod(1 - outcome.candidate.failure_chance for outcome in chosen)
     return (
-        sum(quote.loss for quote in chosen)
+        sum(outcome.loss for outcome in chosen)
         + _job_loss(job, prediction)
-        + any_failure_chance * job.value
-        + HELPER_COST * job.value * (len(chosen) - 1)
+        + any_failure_chance * job.worth
+        + HELPER_COST * job.worth * (len(chosen) - 1)
     )
 
 
@@ -481,39 +485,44 @@
     return _EngineState(candidate, cost, rows, present, losses)
 
 
-def _quote(traits: EngineTraits, engine: _EngineState, work: Work, now_s: float) -> _Quote:
+def _simulate(
+    traits: EngineTraits, engine: _EngineState, work: Work, now_s: float
+) -> _EngineOutcome:
     after = predict(traits, engine.present, work, engine.candidate.pace)
     delays = sum(
-        _row_loss(row, late, now_s) - before
-        for row, before, late in zip(engine.rows, engine.before, after, strict=False)
+        _row_loss(row, prediction, now_s) - loss_before
+        for row, loss_before, prediction in zip(
+            engine.rows, engine.losses_before, after, strict=False
+        )
     )
-    return _Quote(engine.candidate, engine.cost + delays, after[-1])
+    return _EngineOutcome(engine.candidate, engine.cost + delays, after[-1])
 
 
 def _row_loss(row: LedgerRow, prediction: Prediction, now_s: float) -> float:
     stake: Stake = row.stake
     late = abandoned = 0.0
     if row.first_event_s is None:
-        late = _chance_late(prediction.first_event_s, stake.first_due_s - now_s)
-        abandoned = _chance_late(prediction.first_event_s, stake.caller_leaves_s - now_s)
+        late = _chance_exceeded(prediction.first_event_s, stake.first_due_s - now_s)
+        abandoned = _chance_exceeded(prediction.first_event_s, stake.caller_leaves_s - now_s)
     if row.writes:
-        late = max(late, _chance_late(prediction.pause_s, stake.pause_limit_s))
-        # The caller leaves during a longer pause, so the whole worth is lost.
-        abandoned = max(abandoned, _chance_late(prediction.pause_s, row.caller_wait_s))
-    return (late * LATE_LOSS + abandoned * (1 - LATE_LOSS)) * stake.value
+        late = max(late, _chance_exceeded(prediction.pause_s, stake.pause_limit_s))
+        # During a pause longer than `caller_wait_s` the caller leaves, so the whole worth is lost.
+        abandoned = max(abandoned, _chance_exceeded(prediction.pause_s, row.caller_wait_s))
+    return (late * LATE_LOSS + abandoned * (1 - LATE_LOSS)) * stake.worth
 
 
 def _job_loss(job: Job, prediction: Prediction) -> float:
     late = max(
-        _chance_late(prediction.first_event_s, job.first_due_s),
-        _chance_late(prediction.pause_s, job.pause_limit_s),
+        _chance_exceeded(prediction.first_event_s, job.first_due_in_s),
+        _chance_exceeded(prediction.pause_s, job.pause_limit_s),
     )
-    abandoned = _chance_late(prediction.first_event_s, job.caller_leaves_after_s)
+    abandoned = _chance_exceeded(prediction.first_event_s, job.caller_leaves_after_s)
     delay_s = min(prediction.first_event_s, MAX_COSTED_DELAY_S)
-    return job.value * (late * LATE_LOSS + abandoned * (1 - LATE_LOSS) + DELAY_COST_PER_S * delay_s)
+    return job.worth * (late * LATE_LOSS + abandoned * (1 - LATE_LOSS) + DELAY_COST_PER_S * delay_s)
 
 
-def _chance_late(time_s: float, limit_s: float) -> float:
+def _chance_exceeded(time_s: float, limit_s: float) -> float:
+    """Return the probability that a predicted time turns out longer than its limit."""
     if limit_s == float("inf"):
         return 0.0
     if time_s == float("inf") or limit_s <= 0:
--- a/gladedrum/scheduling/jobs.py
+++ b/gladedrum/scheduling/jobs.py
@@ -1,4 +1,4 @@
-"""Descriptions of requests and engines for scheduling decisions."""
+"""Requests and engines as the queues of owners and their policies see them."""
 
 from typing import NamedTuple
 
@@ -25,20 +25,21 @@
 
 
 class Job(NamedTuple):
-    """A request as a policy sees it.
+    """A request, or a segment of one, as a queue and its policy see it.
 
     Parameters
     ----------
     job_id : str
-        Unique for each attempt of each request.
+        Unique to an attempt, or to a segment of one.
     organisation : str
         The customer.
     request_class : str
-        The class named by the caller, e.g. ``clause`` or ``dossier``.
+        The kind of request that the caller states, e.g. ``clause`` or ``dossier``.
     prompt_tokens, output_tokens : int
         Length of the prompt, and maximum length of the answer.
     arrival_s, deadline_s : float
-        Times on the clock of the deciding box, in seconds.
+        Times by the clock of the box that holds this record, in seconds. They are converted when
+        a box sends it to another.
     weight : float
         Weight of the organisation; its fair share is proportional to it.
     prefix : tuple of int
@@ -81,7 +82,9 @@
 
 
 class EngineTraits(NamedTuple):
-    """Size and speed of an engine, from the platform's list.
+    """Size and speed of an engine, for the estimates of its queue.
+
+    Placement uses the traits in `engine_model` instead.
 
     Parameters
     ----------
--- a/gladedrum/scheduling/ledger.py
+++ b/gladedrum/scheduling/ledger.py
@@ -12,18 +12,18 @@
 __all__ = ["EngineLedger", "LedgerRow", "Stake"]
 
 _ROW_EXPIRY_S = 40.0
-"""A row is dropped after this time, in seconds, if its end was not announced; no request runs
-longer."""
+"""A row is dropped after this time, in seconds, in case the announcement of its end was lost. It
+exceeds the duration of any request."""
 
 MIN_CALLER_WAIT_S, CALLER_WAIT_OBJECTIVE_FACTOR, CALLER_WAIT_PAUSE_FACTOR = 2.0, 4, 8
-"""A caller abandons a stream after a pause of this many seconds, this multiple of its objective for
-the first event or this multiple of its objective for pauses, whichever is longest."""
+"""A caller is assumed to leave when a pause exceeds the longest of three times: a minimum in
+seconds, a multiple of its objective for the first event, and one of its objective for pauses."""
 
 _WRITING_TIME_SHARE = 0.88
 """Share of an engine's time that goes into steps while requests write; the rest is reading."""
 
 _MIN_ANSWER_LEFT_SHARE = 0.15
-"""Least share of the expected answer that counts as unwritten while the request is still
+"""Minimum share of the expected answer that counts as unwritten while the request is still
 present."""
 
 
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    value : float
+    worth : float
         Its worth if it is on time, in units of the smallest request's.
     first_due_s : float
         When its first event is due, by the monotonic clock.
@@ -43,7 +43,7 @@
         When its caller leaves if there has been no event, by the monotonic clock.
     """
 
-    value: float
+    worth: float
     first_due_s: float
     pause_limit_s: float
     caller_leaves_s: float = float("inf")
@@ -128,8 +128,8 @@
 class EngineLedger:
     """The requests on one engine, in order of placement.
 
-    Sums are maintained incrementally, since a box that decides for a large fleet reads them on
-    every engine for each request.
+    Sums are maintained incrementally, since a coordinator of a large fleet reads them on every
+    engine for each request.
 
     Attributes
     ----------
@@ -155,7 +155,7 @@
             return
         self.rows[row.work_id] = row
         self.tokens += row.held_tokens
-        self.total_worth += row.stake.value
+        self.total_worth += row.stake.worth
         if row.read_left > 0:
             self._unread[row.work_id] = row
 
@@ -175,7 +175,7 @@
         self._unread.pop(work_id, None)
         # Resetting to zero keeps rounding errors from accumulating.
         self.tokens = self.tokens - row.held_tokens if self.rows else 0.0
-        self.total_worth = self.total_worth - row.stake.value if self.rows else 0.0
+        self.total_worth = self.total_worth - row.stake.worth if self.rows else 0.0
 
     def advance(self, traits: EngineTraits, now_s: float) -> None:
         """Update how far the prompts have been read by now."""
@@ -200,14 +200,14 @@
 
     @property
     def unread(self) -> float:
-        """Prompt tokens still to be read, each multiplied by the number of parts of its prompt."""
+        """Prompt tokens still to be read, weighted by `pair_share`."""
         return sum([row.read_left * row.pair_share for row in self._unread.values()])
 
     def reads_until_s(self, traits: EngineTraits) -> float | None:
         """Return when all prompts being read here will have been read; None if there are none.
 
-        Streams on the engine may pause until then. A part counts by its own tokens and its share of
-        the whole prompt's pairs.
+        Streams on the engine may pause until then. A part counts by its own tokens and its share
+        of the whole prompt's pairs.
         """
         unread = self._unread.values()
         if not unread:
--- a/gladedrum/scheduling/placement_policies.py
+++ b/gladedrum/scheduling/placement_policies.py
@@ -25,7 +25,7 @@
 """Chooses the engines for a request at a given time, given the recent long prompts; None if no set
 of candidates has the memory."""
 
-LONG_TOKENS = 32_000
+LONG_PROMPT_TOKENS = 32_000
 """Prompts of at least this length count as long for `length_pools`."""
 
 LONG_SHARE = 0.5
@@ -45,7 +45,7 @@
 
 
 def placement_names() -> list[str]:
-    """Return the names of the policies with a placement, sorted."""
+    """Return the names of the policies with a placement function, sorted."""
     return sorted(_policies)
 
 
@@ -57,7 +57,7 @@
     now_s: float,
     long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
-    """Place a request by a policy; `fair_slack` if the policy has no placement of its own."""
+    """Place a request by a policy; `fair_slack` if the policy has no placement function."""
     return _policies.get(name, expected_loss.place)(
         traits, candidates, job, now_s, long_prompt_arrivals
     )
@@ -98,7 +98,7 @@
     """Reserve half of the engines for long prompts: a common baseline."""
     ordered = sorted(candidates, key=lambda candidate: candidate.name)
     split = max(1, round(len(ordered) * LONG_SHARE))
-    pool = ordered[:split] if job.prompt_tokens >= LONG_TOKENS else ordered[split:]
+    pool = ordered[:split] if job.prompt_tokens >= LONG_PROMPT_TOKENS else ordered[split:]
     return place_least_loaded(traits, pool or ordered, job, now_s)
 
 
@@ -110,10 +110,10 @@
     load: Callable[[Candidate], float],
 ) -> Placement | None:
     """Choose the least loaded engine; `fair_slack` places prompts that fit no engine."""
-    whole = job.prompt_tokens + job.answer_tokens
-    if whole > traits.memory_tokens:
+    total_tokens = job.prompt_tokens + job.answer_tokens
+    if total_tokens > traits.memory_tokens:
         return expected_loss.place(traits, candidates, job, now_s)
-    fitting = [c for c in candidates if c.tokens + whole <= traits.memory_tokens]
+    fitting = [c for c in candidates if c.tokens + total_tokens <= traits.memory_tokens]
     if not fitting:
         return None
     best = min(fitting, key=load)
--- a/gladedrum/scheduling/policies/__init__.py
+++ b/gladedrum/scheduling/policies/__init__.py
@@ -1,4 +1,4 @@
-"""Queueing policies by name. A new policy is a module that registers it and is imported below."""
+"""Queueing policies by name. To add one, register it in a new module and import this below."""
 
 from . import fair_slack, fifo, least_loaded, length_pools
 from .core import *
--- a/gladedrum/scheduling/policies/core.py
+++ b/gladedrum/scheduling/policies/core.py
@@ -37,8 +37,8 @@
     work_done_s : mapping of str to float
         Recent engine time of each organisation, in seconds.
     least_served_s : float
-        Minimum of `work_done_s` divided by the weight, over the organisations with waiting
-        requests.
+        `work_done_s` divided by the weight, of the organisation for which this is lowest among
+        those with waiting requests.
     """
 
     memory_tokens: int
@@ -54,7 +54,9 @@
 
 
 class Policy:
-    """Decides the order of requests. Subclasses override what differs.
+    """Chooses targets for a request, and the order in which a target's queue starts requests.
+
+    Subclasses override the methods in which they differ from first come, first served.
 
     A policy keeps no state between calls, so it can be changed while requests run, and all boxes
     reach the same decisions.
--- a/gladedrum/scheduling/policies/fair_slack.py
+++ b/gladedrum/scheduling/policies/fair_slack.py
@@ -1,9 +1,10 @@
 """The main policy: order by slack, fair shares of engine time, free memory for short prompts.
 
-Each request has a target time for its first token, which grows with the length of its prompt.
-Requests are ordered by the latest time at which they can start and still meet it. This time does
-not change while a request waits, so new requests cannot delay a long one indefinitely, while a
-short request passes a long one that has slack. A request of an organisation that has used more than
+Each request has an objective for the time to its first token, which grows with the length of its
+prompt. Requests are ordered by the latest time at which they can start and still meet it; the time
+left until then is their slack. The latest start does not change while a request waits, so new
+requests cannot delay a long one indefinitely, while a short request passes a long one that has
+slack. A request of an organisation that has used more than
 its fair share of recent engine time is ordered later by the excess.
 """
 
@@ -15,7 +16,7 @@
 from .core import Policy, QueueState, register
 from .rendezvous import rendezvous_order
 
-__all__ = ["FairSlack", "first_token_target_s"]
+__all__ = ["FairSlack", "first_token_objective_s"]
 
 _CHOICES = 2
 """Number of targets that a short prompt asks for quotes, beside the one with its prefix."""
@@ -27,6 +28,7 @@
 """Share of the targets that long prompts ask first."""
 
 _POOL_KEY = "long prompts"
+"""Hash key for the targets that long prompts prefer; the same on all boxes."""
 
 _LONG_MEMORY_SHARE = 0.85
 """Share of an engine's memory that long prompts may hold."""
@@ -34,14 +36,14 @@
 _SEGMENT_SHARE = 0.15
 """Preferred share of an engine's memory for a segment."""
 
-_BASE_TARGET_S = 0.64
-"""Target time for the first token of an empty prompt, in seconds."""
+_BASE_OBJECTIVE_S = 0.64
+"""Objective for the time to the first token of an empty prompt, in seconds."""
 
-_TARGET_STRETCH = 20.0
-"""Target time per second of reference prefill time."""
+_OBJECTIVE_STRETCH = 20.0
+"""Seconds added to the objective for each second of prefill on the reference engine."""
 
-_TARGET_TOKENS_PER_S = 10_000.0
-"""Prefill speed of the reference engine."""
+_REFERENCE_TOKENS_PER_S = 10_000.0
+"""Prefill speed of the reference engine, by which objectives are set for all engines."""
 
 _LONG_PREFILL_STEPS = 1.0
 """Steps of a long prefill that delay a short prompt beside it."""
@@ -50,12 +52,12 @@
 """Resolution of engine priorities, per second of the queue key."""
 
 _NEAR_DEADLINE_SHARE = 0.5
-"""Share of its time that a request may wait before it blocks those behind it."""
+"""Share of the time until its deadline that a request may wait before it blocks those behind it."""
 
 
-def first_token_target_s(prompt_tokens: int) -> float:
-    """Return the target time for the first token of a prompt, in seconds."""
-    return _BASE_TARGET_S + _TARGET_STRETCH * prompt_tokens / _TARGET_TOKENS_PER_S
+def first_token_objective_s(prompt_tokens: int) -> float:
+    """Return the objective for the time to the first token of a prompt, in seconds."""
+    return _BASE_OBJECTIVE_S + _OBJECTIVE_STRETCH * prompt_tokens / _REFERENCE_TOKENS_PER_S
 
 
 @register
@@ -89,6 +91,7 @@
         A short prompt beside a long one also waits for the long prompt's part of an engine step,
         which the expected time does not include.
         """
+        # The sum of the relative delays of overtaken requests, weighted by the own prefill time.
         slowdown_s = expected.prefill_s * expected.prefill_s * expected.overtaken_per_s
         long_prefill_s = 0.0 if job.is_long else _LONG_PREFILL_STEPS * state.long_step_s
         return expected.first_token_s + slowdown_s + long_prefill_s
@@ -126,9 +129,9 @@
 
 
 def _latest_start_s(job: Job) -> float:
-    own_s = job.length_tokens / _TARGET_TOKENS_PER_S
-    by_target_s = job.arrival_s + first_token_target_s(job.length_tokens) - own_s
-    return min(by_target_s, job.deadline_s - own_s)
+    own_s = job.length_tokens / _REFERENCE_TOKENS_PER_S
+    by_objective_s = job.arrival_s + first_token_objective_s(job.length_tokens) - own_s
+    return min(by_objective_s, job.deadline_s - own_s)
 
 
 def _excess_s(job: Job, state: QueueState) -> float:
--- a/gladedrum/scheduling/policies/length_pools.py
+++ b/gladedrum/scheduling/policies/length_pools.py
@@ -11,7 +11,10 @@
 __all__ = ["LengthPools"]
 
 _LONG_SHARE = 0.5
+"""Share of the targets that serve long prompts only."""
+
 _POOL_KEY = "long prompts"
+"""Hash key for these targets; the same on all boxes."""
 
 
 @register
--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -3,7 +3,7 @@
 A request starts only once the memory for its whole life is reserved. The sum of granted
 reservations never exceeds the engine's memory. The queue estimates the engine's backlog from what
 it has granted, from the first tokens reported since and from the time that has passed. It corrects
-its estimate of the engine's speed by the actual times to the first token.
+its estimate of the engine's slowdown by the actual times to the first token.
 """
 
 import itertools
@@ -19,13 +19,13 @@
 
 __all__ = ["QueueLimits", "Reservation", "TargetQueue"]
 
-_SPEED_SMOOTHING = 0.02
-"""Weight of the newest sample in the moving average of the speed factor."""
+_SLOWDOWN_SMOOTHING = 0.02
+"""Weight of the newest sample in the moving average of the slowdown factor."""
 
 _TOKEN_SMOOTHING = 0.1
 """Weight of the newest sample in the moving average of the time per output token."""
 
-_BUSY_STEP_FACTOR = 2.5
+_INITIAL_TOKEN_TIME_FACTOR = 2.5
 """Initial estimate of the time per output token, as a multiple of a step without prefill."""
 
 _MAX_PREFIXES = 2_048
@@ -34,8 +34,8 @@
 _MIN_SAMPLE_S = 0.2
 """Shorter prefills are not used as samples: step time and message delays dominate them."""
 
-_SPEED_NOISE_FACTOR = 1.25
-"""Speed factors within this ratio of 1 are treated as 1."""
+_SLOWDOWN_NOISE_FACTOR = 1.25
+"""Slowdown factors within this ratio of 1 are treated as 1."""
 
 _MAX_OVERTAKING_SHARE = 0.9
 """Upper bound of the time share of overtaking requests, which keeps expected times finite."""
@@ -43,7 +43,7 @@
 _WORK_EPSILON_S = 1e-9
 """Less engine time than this is rounding error and counts as none."""
 
-_MIN_SPEED_FACTOR, _MAX_SPEED_FACTOR = 0.5, 20.0
+_MIN_SLOWDOWN_FACTOR, _MAX_SLOWDOWN_FACTOR = 0.5, 20.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,8 @@
     max_running : int
         Maximum number of requests that hold a reservation.
     renewal_s : float
-        A reservation expires if its entry box does not renew it within this time, in seconds.
+        A reservation expires if the box that received the request does not renew it within this
+        time, in seconds.
     margin : float
         Safety factor on the expected duration when it is compared with a deadline.
     """
@@ -92,7 +93,7 @@
         Time of its first token, None before.
     none_ahead : bool
         True if no prefill with the same or a higher priority was running at the time of the grant.
-    completed_s : float
+    completed_prefill_s : float
         The queue's `completed_prefill_s` at the time of the grant.
     """
 
@@ -105,7 +106,7 @@
     renewed_s: float
     first_token_s: float | None = None
     none_ahead: bool = False
-    completed_s: float = 0.0
+    completed_prefill_s: float = 0.0
 
 
 @dataclass(slots=True)
@@ -115,8 +116,8 @@
     prefill_s: float
 
 
-class _Work(NamedTuple):
-    """Engine time granted to a request, for the accounting of shares."""
+class _GrantedTime(NamedTuple):
+    """Engine time granted to a request, from which the shares of organisations are computed."""
 
     at_s: float
     organisation: str
@@ -139,7 +140,7 @@
     ----------
     running, waiting : dict
         Reservations and waiting requests, by job id.
-    speed_factor : float
+    slowdown_factor : float
         Estimated factor by which prefills take longer than `traits` say.
     completed_prefill_s : float
         Sum of the expected durations of all completed prefills, in seconds.
@@ -153,17 +154,17 @@
     limits: QueueLimits = field(default_factory=QueueLimits)
     running: dict[str, Reservation] = field(default_factory=dict)
     waiting: dict[str, _Waiting] = field(default_factory=dict)
-    speed_factor: float = 1.0
+    slowdown_factor: float = 1.0
     completed_prefill_s: float = 0.0
     token_s: float = 0.0
     work_done_s: dict[str, float] = field(default_factory=dict)
     _prefixes: OrderedDict[int, None] = field(default_factory=OrderedDict)
     _advanced_s: float = 0.0
     _withheld_tokens: int = 0
-    _recent: deque[_Work] = field(default_factory=deque)
+    _recent: deque[_GrantedTime] = field(default_factory=deque)
 
     def __post_init__(self) -> None:
-        self.token_s = self.token_s or self.traits.decode_step_s * _BUSY_STEP_FACTOR
+        self.token_s = self.token_s or self.traits.decode_step_s * _INITIAL_TOKEN_TIME_FACTOR
 
     @property
     def reserved_tokens(self) -> int:
@@ -176,7 +177,7 @@
         return self.traits.memory_tokens - self.reserved_tokens - self._withheld_tokens
 
     def withhold(self, tokens: int) -> None:
-        """Exclude memory that is in use by the engine's report but not reserved here."""
+        """Exclude memory that is in use according to the engine's report but not reserved here."""
         self._withheld_tokens = max(0, min(tokens, self.traits.memory_tokens))
 
     # Admission.
@@ -238,7 +239,7 @@
         if reservation is None or reservation.first_token_s is not None:
             return
         reservation.first_token_s = now_s
-        self._learn_speed(reservation, now_s)
+        self._update_slowdown(reservation, now_s)
         reservation.remaining_s = 0.0
         for digest in reservation.job.prefix:
             self._prefixes[digest] = None
@@ -298,7 +299,7 @@
 
     def advance(self, now_s: float) -> None:
         """Update the remaining prefill times for the time since the last call."""
-        passed_s = (now_s - self._advanced_s) / self.speed_factor
+        passed_s = (now_s - self._advanced_s) / self.slowdown_factor
         self._advanced_s = now_s
         for reservation in self._prefilling():
             if passed_s <= 0:
@@ -314,14 +315,14 @@
         return min(job.prompt_tokens - 1, length)
 
     @property
-    def _effective_speed_factor(self) -> float:
-        """The speed factor, or 1 if the difference may be noise.
+    def _effective_slowdown_factor(self) -> float:
+        """The slowdown factor, or 1 if the difference may be noise.
 
         Without this threshold, small random differences would make all boxes prefer the same
         engine.
         """
-        is_noise = 1 / _SPEED_NOISE_FACTOR < self.speed_factor < _SPEED_NOISE_FACTOR
-        return 1.0 if is_noise else self.speed_factor
+        is_noise = 1 / _SLOWDOWN_NOISE_FACTOR < self.slowdown_factor < _SLOWDOWN_NOISE_FACTOR
+        return 1.0 if is_noise else self.slowdown_factor
 
     def _prefilling(self) -> list[Reservation]:
         ahead = (r for r in self.running.values() if r.remaining_s > 0)
@@ -349,7 +350,7 @@
                 ahead_s += waiting.prefill_s
             else:
                 overtaken_per_s += 1 / waiting.prefill_s
-        work_s = (ahead_s + own_s) * self._effective_speed_factor
+        work_s = (ahead_s + own_s) * self._effective_slowdown_factor
         if job.is_long:
             # Shorter prompts that arrive later will overtake it.
             work_s /= 1 - self._overtaking_share(job, now_s)
@@ -372,22 +373,22 @@
         job = reservation.job
         if reservation.first_token_s is not None:
             return reservation.first_token_s + self._decode_s(job)
-        return now_s + reservation.remaining_s * self.speed_factor + self._decode_s(job)
+        return now_s + reservation.remaining_s * self.slowdown_factor + self._decode_s(job)
 
-    def _learn_speed(self, reservation: Reservation, now_s: float) -> None:
-        """Update the speed factor from the time between a request's grant and its first token.
+    def _update_slowdown(self, reservation: Reservation, now_s: float) -> None:
+        """Update the slowdown factor from the time between a request's grant and its first token.
 
         If no prefill was ahead of the request, the engine has since done just its prefill and those
         that overtook it, so the time can be compared with their expected durations.
         """
-        done_s = self.completed_prefill_s - reservation.completed_s + reservation.prefill_s
+        done_s = self.completed_prefill_s - reservation.completed_prefill_s + reservation.prefill_s
         self.completed_prefill_s += reservation.prefill_s
         if not reservation.none_ahead or done_s < _MIN_SAMPLE_S:
             return
         factor = (now_s - reservation.granted_s) / done_s
-        change = _SPEED_SMOOTHING * (factor - self.speed_factor)
-        self.speed_factor = min(
-            _MAX_SPEED_FACTOR, max(_MIN_SPEED_FACTOR, self.speed_factor + change)
+        change = _SLOWDOWN_SMOOTHING * (factor - self.slowdown_factor)
+        self.slowdown_factor = min(
+            _MAX_SLOWDOWN_FACTOR, max(_MIN_SLOWDOWN_FACTOR, self.slowdown_factor + change)
         )
 
     # Decisions.
@@ -408,7 +409,7 @@
         if not job.whole_tokens or job.start_tokens:
             return 0.0
         rest_s = self.traits.prefill_s(job.whole_tokens, job.prompt_tokens)
-        return rest_s * self._effective_speed_factor / (1 - self._overtaking_share(job, now_s))
+        return rest_s * self._effective_slowdown_factor / (1 - self._overtaking_share(job, now_s))
 
     def _overtaking_share(self, job: Job, now_s: float) -> float:
         """Return the share of recent engine time that went to shorter prompts."""
@@ -441,14 +442,14 @@
             waiting.prefill_s,
             now_s,
             none_ahead=none_ahead,
-            completed_s=self.completed_prefill_s,
+            completed_prefill_s=self.completed_prefill_s,
         )
         self._record_work(job, waiting.prefill_s, now_s)
         return Grant(job, priority)
 
     def _record_work(self, job: Job, prefill_s: float, now_s: float) -> None:
         work_s = prefill_s + self._decode_s(job) / self.limits.max_running
-        self._recent.append(_Work(now_s, job.organisation, work_s, job.length_tokens))
+        self._recent.append(_GrantedTime(now_s, job.organisation, work_s, job.length_tokens))
         self.work_done_s[job.organisation] = self.work_done_s.get(job.organisation, 0) + work_s
         while self._recent and self._recent[0].at_s < now_s - Policy.fairness_window_s:
             old = self._recent.popleft()
--- a/gladedrum/scheduling/rates.py
+++ b/gladedrum/scheduling/rates.py
@@ -2,7 +2,7 @@
 
 A target under pressure names in its answers how many requests a second it accepts from all boxes
 together. The rate holds until a later answer names another or none; answers may arrive out of
-order. One box grants the places of a target for all boxes.
+order. For each target one box grants *places*, permits to send one request now, to all boxes.
 """
 
 from collections.abc import Container
@@ -22,9 +22,9 @@
     since_s : float
         When the target was first known to name a rate, by the monotonic clock.
     heard_s : float
-        Arrival of the latest answer that named this rate.
+        When the latest answer that named this rate arrived, by the monotonic clock.
     told_by : str
-        The peer that reported it; empty if this box received the answer itself.
+        The peer that received that answer; empty if it was this box.
     """
 
     per_s: float
@@ -76,8 +76,8 @@
 """Share of a named rate that the polling of reports may use; the rest is for callers."""
 
 BURST_S = 0.5
-"""Size of a bucket, as seconds of its rate (but at least one request). It is small so that a short
-window holds little more than the rate."""
+"""Size of a bucket, as seconds of its rate (but at least one request). It is small so that
+even in a short window the grants exceed the rate only slightly."""
 
 MAX_DEBT_S = 4.0
 """Maximum debt from requests sent without a grant, such as renewals of memory reservations, as
@@ -122,11 +122,11 @@
 
     Examples
     --------
-    >>> book = RateLimiter()
+    >>> limiter = RateLimiter()
     >>> (
-    ...     book.acquire("t", 0, 2.0, 10.0),
-    ...     book.acquire("t", 0, 2.0, 10.5),
-    ...     book.acquire("t", 0, 2.0, 10.75),
+    ...     limiter.acquire("t", 0, 2.0, 10.0),
+    ...     limiter.acquire("t", 0, 2.0, 10.5),
+    ...     limiter.acquire("t", 0, 2.0, 10.75),
     ... )
     (0.5, 0.0, 0.25)
     """
@@ -170,7 +170,7 @@
         bucket = self._buckets.get(target)
         if bucket is None or 0 < bucket.born < born:
             bucket = self._buckets[target] = _Bucket(born, 0.0, now_s)
-        # A caller may know an earlier start of the target, or none (0).
+        # The box that asks may know an earlier start of the target, or none (0).
         bucket.born = max(bucket.born, born)
         gained = per_s * max(0.0, now_s - bucket.filled_s)
         bucket.tokens, bucket.filled_s = min(_capacity(per_s), bucket.tokens + gained), now_s
--- a/gladedrum/scheduling/suspects.py
+++ b/gladedrum/scheduling/suspects.py
@@ -14,11 +14,11 @@
 
 Examples
 --------
->>> book = SuspectTracker()
+>>> tracker = SuspectTracker()
 >>> for name in ("a", "b", "c"):
-...     _ = book.note_lost(b"request", [TargetStart(name, 7)], now_s=0.0)
-...     _ = book.note_ended(TargetStart(name, 7), now_s=0.5)
->>> book.standing(b"request", now_s=1.0).name
+...     _ = tracker.note_lost(b"request", [TargetStart(name, 7)], now_s=0.0)
+...     _ = tracker.note_ended(TargetStart(name, 7), now_s=0.5)
+>>> tracker.standing(b"request", now_s=1.0).name
 'CONDEMNED'
 """
 
@@ -40,12 +40,12 @@
 targets may run another version; if it still ends them, this costs one target per period."""
 
 SETTLE_TIMEOUT_S = 10.0
-"""How long an open loss counts, in seconds. It exceeds the time after which the lapsed entry of an
-ended target is noticed."""
+"""How long an open loss counts, in seconds. It exceeds the time after which the expired store
+entry of an ended target is noticed."""
 
 ALIVE_AFTER_S = 1.0
-"""A report received this long after a loss, in seconds, was sent after it: the bound covers the age
-of the report and the delivery of the loss."""
+"""A report that arrives at least this long after a loss, in seconds, shows that the target outlived
+the loss: the time covers the age of the report and the delivery of the loss."""
 
 MAX_SHARED_LOSSES = 96
 """Maximum number of losses that boxes compare and send each other in full; they fit into eight
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class Loss:
-    """A request that was lost with one start of a target.
+    """A request that was lost with one start of a target (not a loss of worth, as in placement).
 
     Parameters
     ----------
@@ -226,18 +226,18 @@
         if not losses:
             return Standing.CLEAR
         ended = [loss for loss in losses if loss.verdict is Verdict.ENDED]
-        if _count_ends(ended) >= ENDS_TO_CONDEMN and any(
+        if _count_starts(ended) >= ENDS_TO_CONDEMN and any(
             self._is_sole_cause(loss) for loss in ended
         ):
             return Standing.CONDEMNED
-        if _count_ends(losses) >= ENDS_TO_CONDEMN and len(ended) < len(losses):
+        if _count_starts(losses) >= ENDS_TO_CONDEMN and len(ended) < len(losses):
             return Standing.HELD
-        return Standing.ALONE if _count_ends(losses) > 1 else Standing.WATCHED
+        return Standing.ALONE if _count_starts(losses) > 1 else Standing.WATCHED
 
     def condemned(self, now_s: float) -> list[Condemned]:
         """Return the condemned requests, latest first."""
         rows = [
-            self._condemned_row_of(digest, now_s)
+            self._condemned_details(digest, now_s)
             for digest in list(self._losses)
             if self.standing(digest, now_s) is Standing.CONDEMNED
         ]
@@ -247,7 +247,7 @@
         """Return the details of a condemned request; None if it is not condemned."""
         if self.standing(digest, now_s) is not Standing.CONDEMNED:
             return None
-        return self._condemned_row_of(digest, now_s)
+        return self._condemned_details(digest, now_s)
 
     def losses(self) -> list[Loss]:
         """Return all losses, latest first."""
@@ -331,9 +331,9 @@
                 self._condemned.discard(digest)
             elif digest not in self._condemned:
                 self._condemned.add(digest)
-                self.on_condemned(self._condemned_row_of(digest, now_s))
+                self.on_condemned(self._condemned_details(digest, now_s))
 
-    def _condemned_row_of(self, digest: bytes, now_s: float) -> Condemned:
+    def _condemned_details(self, digest: bytes, now_s: float) -> Condemned:
         losses = self._attributed_losses(digest)
         ages_s = sorted(now_s - loss.at_s for loss in losses)
         starts = tuple(sorted(loss.start for loss in losses))
@@ -378,8 +378,11 @@
     return SETTLE_TIMEOUT_S if loss.verdict is Verdict.OPEN else LOSS_RETENTION_S
 
 
-def _count_ends(losses: Iterable[Loss]) -> int:
-    """Return how many targets ended; a loss with unknown start adds none to known starts."""
+def _count_starts(losses: Iterable[Loss]) -> int:
+    """Return the number of different starts of targets in `losses`.
+
+    An unknown start counts only if no start of its target is known.
+    """
     starts_by_name: dict[str, set[int]] = defaultdict(set)
     for loss in losses:
         starts_by_name[loss.start.name].add(loss.start.born)
--- a/gladedrum/scheduling/tests/test_caller_wait.py
+++ b/gladedrum/scheduling/tests/test_caller_wait.py
@@ -16,6 +16,6 @@
     assert row(due_s, placed_s).caller_wait_s == MIN_CALLER_WAIT_S
 
 
-def test_request_without_objective_waits_forever():
+def test_caller_without_objective_waits_forever():
     assert row(float("inf"), 9.0).caller_wait_s == float("inf")
     assert row(1.0, 9.0, float("inf")).caller_wait_s == float("inf")
--- a/gladedrum/scheduling/tests/test_credit.py
+++ b/gladedrum/scheduling/tests/test_expected_loss.py
@@ -50,22 +50,22 @@
 
 
 def test_frequent_long_prompts_concentrate_short_prompts_on_fewer_engines():
-    reads = LongPromptArrivals()
+    arrivals = LongPromptArrivals()
     for at_s in range(6):
-        reads.note(130_000, 3, float(at_s))
+        arrivals.note(130_000, 3, float(at_s))
     busy = candidate("busy", *(row(f"s{i}", 5_000, writing=True) for i in range(6)))
     engines = [busy, *(candidate(f"e{i}", row(f"r{i}", 2_000, writing=True)) for i in range(4))]
     assert place(TRAITS, engines, SHORT, 6.0).name != "busy"
-    assert place(TRAITS, engines, SHORT, 6.0, reads).name == "busy"
-    assert place(TRAITS, engines, SHORT, 200.0, reads).name != "busy"
+    assert place(TRAITS, engines, SHORT, 6.0, arrivals).name == "busy"
+    assert place(TRAITS, engines, SHORT, 200.0, arrivals).name != "busy"
 
 
-def test_arrival_rate_counts_reads_beyond_the_pause_limit_and_decays():
-    reads = LongPromptArrivals()
-    reads.note(5_000, 1, 0.0)
-    reads.note(45_000, 1, 0.0)
-    assert reads.parts_per_s(TRAITS, 0.6, 0.0) == 0.0
-    soon, later = (reads.parts_per_s(TRAITS, 0.25, at_s) for at_s in (0.0, 6.0))
+def test_arrival_rate_counts_parts_read_longer_than_the_pause_limit_and_decays():
+    arrivals = LongPromptArrivals()
+    arrivals.note(5_000, 1, 0.0)
+    arrivals.note(45_000, 1, 0.0)
+    assert arrivals.parts_per_s(TRAITS, 0.6, 0.0) == 0.0
+    soon, later = (arrivals.parts_per_s(TRAITS, 0.25, at_s) for at_s in (0.0, 6.0))
     assert 0.0 < later < soon / 2
 
 
@@ -74,7 +74,7 @@
     chosen = place(TRAITS, [candidate(f"e{i}") for i in range(4)], job, 0.0)
     assert chosen.helpers
     assert not chosen.reserved
-    assert chosen.first_event_s < job.first_due_s
+    assert chosen.first_event_s < job.first_due_in_s
 
 
 def test_prompt_larger_than_one_engine_reserves_memory_on_helpers():
--- a/gladedrum/scheduling/tests/test_long_pauses.py
+++ b/gladedrum/scheduling/tests/test_long_pauses.py
@@ -18,7 +18,7 @@
 """Numbers of short answers on successive engines."""
 
 
-class Shares(NamedTuple):
+class LossComponents(NamedTuple):
     """The components of an expected loss."""
 
     own: float
@@ -48,18 +48,18 @@
     ]
 
 
-def shares_of(fleet: list[Candidate], job: Job, chosen: Placement) -> Shares:
+def loss_components(fleet: list[Candidate], job: Job, chosen: Placement) -> LossComponents:
     names = (chosen.name, *chosen.helpers)
     by_name = {candidate.name: candidate for candidate in fleet}
     work = expected_loss.Work(chosen.part_tokens, job.answer_tokens, pair_share=float(len(names)))
     engines = [expected_loss._engine_state(TRAITS, by_name[name], 0.0, 0.0) for name in names]
-    others = sum(expected_loss._quote(TRAITS, engine, work, 0.0).loss for engine in engines)
+    others = sum(expected_loss._simulate(TRAITS, engine, work, 0.0).loss for engine in engines)
     failure_chance = 1 - math.prod(1 - by_name[name].failure_chance for name in names)
     prediction = expected_loss.Prediction(chosen.first_event_s, chosen.pause_s)
-    return Shares(
+    return LossComponents(
         expected_loss._job_loss(job, prediction),
-        expected_loss.HELPER_COST * job.value * len(chosen.helpers),
-        failure_chance * job.value,
+        expected_loss.HELPER_COST * job.worth * len(chosen.helpers),
+        failure_chance * job.worth,
         others,
     )
 
@@ -69,19 +69,19 @@
     monkeypatch.setattr(expected_loss, "PART_COUNTS", (16,))
     fleet = busy_fleet()
     chosen = place(TRAITS, fleet, LONG, 0.0)
-    shares = shares_of(fleet, LONG, chosen)
+    components = loss_components(fleet, LONG, chosen)
     names = (chosen.name, *chosen.helpers)
     stalled_worth = sum(
         candidate.ledger.total_worth for candidate in fleet if candidate.name in names
     )
-    print(chosen, shares, stalled_worth)
+    print(chosen, components, stalled_worth)
     assert len(names) == 16
     assert abs(chosen.first_event_s - 2.557) < 0.05
-    assert abs(sum(shares) - chosen.loss) < 0.01
-    assert shares.failures == 0.0
-    assert abs(shares.own - 22) < 1
-    assert abs(shares.helpers - 12) < 0.1
-    assert shares.others > 0.95 * stalled_worth
+    assert abs(sum(components) - chosen.loss) < 0.01
+    assert components.failures == 0.0
+    assert abs(components.own - 22) < 1
+    assert abs(components.helpers - 12) < 0.1
+    assert components.others > 0.95 * stalled_worth
 
 
 def test_abandoned_answers_cost_more_than_late_ones():
--- a/gladedrum/scheduling/tests/test_questions.py
+++ b/gladedrum/scheduling/tests/test_questions.py
@@ -1,8 +1,8 @@
-"""Metastable failure of deciders after a flash crowd, and the protection against it.
+"""Metastable failure of coordinators after a flash crowd, and the protection against it.
 
-For ten seconds more questions arrive than the deciders can answer; then the load falls to half of
-their capacity. A decider that answers in order of arrival answers everyone too late, and goes on
-doing so for seconds after the crowd.
+For ten seconds more questions arrive than the coordinators can answer; then the load falls to half
+of their capacity. A coordinator that answers in order of arrival answers every question too late,
+also for seconds after the crowd.
 """
 
 import random
@@ -18,13 +18,13 @@
     WaitingQuestions,
 )
 
-DECIDERS = 4
+COORDINATORS = 4
 DECISION_S = 0.007
 REJECTION_S = 0.0004
-"""Cost of an answer that only says that the decider is busy, in seconds."""
-PATIENCE_S = 0.03
-CAPACITY = DECIDERS / DECISION_S
-CROWD_S, AFTER_S = (5.0, 15.0), 20.0
+"""Time that the answer "busy" takes a coordinator, in seconds."""
+MAX_AGE_S = 0.03
+CAPACITY = COORDINATORS / DECISION_S
+CROWD_S, END_S = (5.0, 15.0), 20.0
 
 
 class FifoQuestions:
@@ -43,7 +43,7 @@
         return NextQuestion(self._waiting.popleft(), True)
 
 
-class Decider:
+class Coordinator:
     """Answers one question after another, in virtual time."""
 
     def __init__(self, waiting):
@@ -63,24 +63,24 @@
 
 
 def rate_at(now_s):
-    """Return the questions per second; during the crowd 1.3 times the capacity of all deciders."""
+    """Return the questions per second; in the crowd 1.3 times what all coordinators can answer."""
     return 1.3 * CAPACITY if CROWD_S[0] <= now_s < CROWD_S[1] else 0.5 * CAPACITY
 
 
 def simulate(make_waiting):
     """Return the share of questions answered in time, for each second."""
     rng = random.Random(5)
-    deciders = [Decider(make_waiting()) for _ in range(DECIDERS)]
+    coordinators = [Coordinator(make_waiting()) for _ in range(COORDINATORS)]
     asked, in_time = Counter(), Counter()
     now_s = 0.0
-    while now_s < AFTER_S:
+    while now_s < END_S:
         now_s += rng.expovariate(rate_at(now_s))
-        decider = rng.choice(deciders)
-        for asked_s, answered_s in decider.work_until(now_s):
+        coordinator = rng.choice(coordinators)
+        for asked_s, answered_s in coordinator.work_until(now_s):
             in_time[int(asked_s)] += answered_s - asked_s <= MIN_WAIT_S
-        decider.waiting.put(now_s, now_s)
+        coordinator.waiting.put(now_s, now_s)
         asked[int(now_s)] += 1
-    return [in_time[second] / asked[second] for second in range(int(AFTER_S) - 1)]
+    return [in_time[second] / asked[second] for second in range(int(END_S) - 1)]
 
 
 def test_fifo_order_fails_for_seconds_after_a_crowd():
@@ -90,14 +90,14 @@
 
 
 def test_newest_first_order_keeps_serving_and_recovers_at_once():
-    shares = simulate(lambda: WaitingQuestions(PATIENCE_S))
+    shares = simulate(lambda: WaitingQuestions(MAX_AGE_S))
     assert min(shares[:5]) > 0.9
     assert min(shares[6:14]) > 0.6
     assert min(shares[16:]) > 0.9
 
 
 def test_expired_question_is_marked_as_late():
-    waiting = WaitingQuestions(PATIENCE_S)
+    waiting = WaitingQuestions(MAX_AGE_S)
     waiting.put("a", 0.0)
     waiting.put("b", 0.02)
     assert waiting.take(0.04) == NextQuestion("b", True)
@@ -107,7 +107,7 @@
 
 
 def simulate_asker(times, took_s, answers):
-    """Ask a decider that takes `took_s`; return the number of answers within the wait."""
+    """Ask a coordinator that takes `took_s`; return the number of answers within the wait."""
     answered = 0
     for _ in range(answers):
         answered += took_s <= times.wait_s("d")
@@ -115,15 +115,15 @@
     return answered
 
 
-def test_wait_adapts_to_a_slow_decider():
-    """A fixed wait would miss every answer of a decider that is slower than it."""
+def test_wait_adapts_to_a_slow_coordinator():
+    """A fixed wait would miss every answer of a coordinator that is slower."""
     times = AnswerTimes()
     simulate_asker(times, 0.005, 20)
     assert times.wait_s("d") == MIN_WAIT_S
     assert simulate_asker(times, 0.06, 20) >= 18
 
 
-def test_wait_for_a_decider_is_bounded():
+def test_wait_for_a_coordinator_is_bounded():
     times = AnswerTimes()
     simulate_asker(times, 5.0, 20)
     assert times.wait_s("d") == MAX_WAIT_S
--- a/gladedrum/scheduling/tests/test_very_long_prompts.py
+++ b/gladedrum/scheduling/tests/test_very_long_prompts.py
@@ -24,7 +24,7 @@
     stride=52,
     hop_s=0.0001,
 )
-ENGINES, OBJECTIVE_S, PATIENCE_S = 60, 4.0, 14.0
+ENGINES, OBJECTIVE_S, CALLER_LEAVES_AFTER_S = 60, 4.0, 14.0
 
 
 def fleet(seed, long_prompts, short_answers):
@@ -35,7 +35,7 @@
         tokens = min(1_000_000, int(rng.lognormvariate(12.45, 0.5)))
         parts = min(16, 1 + int(read_time_s(TRAITS, tokens) / 2.4))
         at_s = -2.2 * rng.random()
-        stake = Stake(worth_of(tokens), at_s + OBJECTIVE_S, 0.8, at_s + PATIENCE_S)
+        stake = Stake(worth_of(tokens), at_s + OBJECTIVE_S, 0.8, at_s + CALLER_LEAVES_AFTER_S)
         for index, ledger in enumerate(rng.sample(ledgers, parts)):
             part = tokens / parts
             row = LedgerRow(f"g{number}", part, parts, 800, part, index == 0, stake, at_s)
@@ -54,7 +54,7 @@
 
 
 def job(tokens):
-    return Job(tokens, 800, worth_of(tokens), OBJECTIVE_S, 0.8, PATIENCE_S)
+    return Job(tokens, 800, worth_of(tokens), OBJECTIVE_S, 0.8, CALLER_LEAVES_AFTER_S)
 
 
 def mean_loss(tokens, long_prompts, short_answers, seeds=8):
@@ -92,9 +92,9 @@
     monkeypatch, tokens, long_prompts, short_answers
 ):
     """Guards the bound on simulated engines under a flash crowd of long prompts."""
-    quoted = mean_loss(tokens, long_prompts, short_answers)
+    shortlisted = mean_loss(tokens, long_prompts, short_answers)
     monkeypatch.setattr(expected_loss, "DEFAULT_QUOTED_ENGINES", ENGINES)
-    assert quoted <= 1.05 * mean_loss(tokens, long_prompts, short_answers)
+    assert shortlisted <= 1.05 * mean_loss(tokens, long_prompts, short_answers)
 
 
 @pytest.mark.parametrize("tokens", [360_000, 380_000])
@@ -114,11 +114,11 @@
 
 @pytest.mark.parametrize("due_s", [0.3, 0.01, -1.0])
 def test_short_prompt_simulates_few_engines(monkeypatch, due_s):
-    quoted_engines = []
-    quote = expected_loss._quote
+    simulated = []
+    simulate = expected_loss._simulate
     monkeypatch.setattr(
-        expected_loss, "_quote", lambda *args: quoted_engines.append(1) or quote(*args)
+        expected_loss, "_simulate", lambda *args: simulated.append(1) or simulate(*args)
     )
     short = Job(5_000, 1_600, worth_of(5_000), due_s, 0.2, 2.0)
     place(TRAITS, fleet(1, long_prompts=3, short_answers=30), short, 0.0)
-    assert len(quoted_engines) <= 18 + expected_loss.MAX_EXTRA_CONNECTED
+    assert len(simulated) <= 18 + expected_loss.MAX_EXTRA_CONNECTED
