--- a/gladedrum/scheduling/engine_model.py
+++ b/gladedrum/scheduling/engine_model.py
@@ -162,7 +162,7 @@
         self._now_s = 0.0
         self._joint = [work.pair_share > 1 or not work.writes for work in works]
         self._writes = [work.writes for work in works]
-        self._pair_share = [work.pair_share for work in works]
+        self._pair_factor = [work.pair_share for work in works]
         self._read_left = [work.read_left for work in works]
         self._depth = [work.depth for work in works]
         self._answer_left = [work.answer_left for work in works]
@@ -238,7 +238,9 @@
 
     def _read(self, i: int, read_tokens: float) -> float:
         """Read tokens of a prompt; return the time it takes, without the steps."""
-        pairs = (read_tokens * self._depth[i] + read_tokens * read_tokens / 2) * self._pair_share[i]
+        pairs = (read_tokens * self._depth[i] + read_tokens * read_tokens / 2) * self._pair_factor[
+            i
+        ]
         self._read_left[i] -= read_tokens
         self._depth[i] += read_tokens
         return read_tokens / self._traits.read_tokens_per_s + pairs * self._traits.per_pair_s
--- a/gladedrum/scheduling/policies/core.py
+++ b/gladedrum/scheduling/policies/core.py
@@ -69,7 +69,7 @@
     """Window over which the engine time of organisations is summed, in seconds."""
 
     segments: ClassVar[SegmentRule] = SegmentRule()
-    """Sizes of the segments of prompts that exceed one engine."""
+    """Sizes of the segments into which prompts are split."""
 
     def candidates(self, job: Job, targets: Sequence[TargetView], count: int) -> list[str]:
         """Return the targets whose owners are asked for a quote, best first.
--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -358,6 +358,11 @@
         return Expected(first_token_s, own_s, overtaken_per_s)
 
     def _memory_wait_s(self, job: Job, now_s: float) -> float:
+        """Return the expected time until running requests free the memory for a request.
+
+        The requests in the queue are counted as if they all went first. If the running requests do
+        not free enough, the duration of the request's prefill is added to their last end.
+        """
         queued = sum(w.job.memory_tokens for w in self.waiting.values())
         needed = job.memory_tokens + queued - self.free_tokens
         if needed <= 0:
@@ -370,6 +375,7 @@
         return max((end_s for end_s, _ in ends), default=now_s) - now_s + self._prefill_s(job)
 
     def _end_s(self, reservation: Reservation, now_s: float) -> float:
+        """Return the expected time of the last token of a request, by the clock of `now_s`."""
         job = reservation.job
         if reservation.first_token_s is not None:
             return reservation.first_token_s + self._decode_s(job)
--- a/gladedrum/scheduling/segments.py
+++ b/gladedrum/scheduling/segments.py
@@ -1,9 +1,9 @@
-"""Segments of prompts that exceed one engine's memory, one engine for each.
+"""Segments of prompts that exceed a policy's preferred share of an engine's memory.
 
-Segments are prefilled one after another. Each stays in the memory of its engine, from which the
-engine of the next segment reads it; the last engine writes the answer. The memory of all segments
-is reserved before the first one starts, in the order of the targets' names, so that two such
-requests cannot deadlock.
+Each segment has an engine of its own; they are prefilled one after another. Each stays in the
+memory of its engine, from which the engine of the next segment reads it; the last engine writes the
+answer. The memory of all segments is reserved before the first one starts, in the order of the
+targets' names, so that two such requests cannot deadlock.
 """
 
 import math
@@ -76,7 +76,7 @@
     Returns
     -------
     list of Segment
-        One if the request fits into one engine; empty if the engines are too few or too small.
+        A single one if the request is not split; empty if the engines are too few or too small.
 
     Examples
     --------
