--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -177,7 +177,7 @@
 
     def _note_overdue(self) -> None:
         self.ctx.view.note_outcome(self.target, True, self.ctx.clock.seconds())
-        self.ctx.port.tell_work(note_from_plan(self.plan, gossip.OVERDUE))
+        self.ctx.port.broadcast_work(note_from_plan(self.plan, gossip.OVERDUE))
 
     def update_from_report(self, report: TargetReport | None) -> None:
         """Update `appears_lost` from a report of the engine, None if the engine sent no report.
@@ -211,7 +211,7 @@
             return
         self._has_begun = True
         self.ctx.view.note_first_event(self.plan, self.ctx.clock.seconds())
-        self.ctx.port.tell_work(note_from_plan(self.plan, gossip.FIRST_EVENT))
+        self.ctx.port.broadcast_work(note_from_plan(self.plan, gossip.FIRST_EVENT))
 
     def end(self, change: int) -> None:
         """Release what the attempt holds and report how it ended. Later calls do nothing."""
@@ -230,7 +230,7 @@
         if change in (gossip.ENDED, gossip.FAILED):
             failed = change == gossip.FAILED
             self.ctx.view.note_outcome(self.target, failed, self.ctx.clock.seconds())
-        self.ctx.port.tell_work(note_from_plan(self.plan, change))
+        self.ctx.port.broadcast_work(note_from_plan(self.plan, change))
 
 
 class AttemptDispatcher:
--- a/gladedrum/forward/tests/crashing_fleet.py
+++ b/gladedrum/forward/tests/crashing_fleet.py
@@ -152,7 +152,7 @@
             lambda: box.targets.entries.values(),
             name,
             lambda: self._report_readers(name, box),
-            box.port.tell_report,
+            box.port.broadcast_report,
         )
 
     def _report_readers(self, name: str, box: World) -> list[str]:
