--- a/gladedrum/beliefs/peer_sync.py
+++ b/gladedrum/beliefs/peer_sync.py
@@ -212,7 +212,7 @@
         note = VouchNote(ask.ask_id, table.version, self._configuration.age_s)
         # Boxes that have all just started must not take each other's empty state for complete.
         note.losses = self._losses.checksum if self._losses.is_informed else None
-        note.table_era, note.table_revision = self._table.table.place
+        note.table_era, note.table_revision = self._table.table.full_revision
         certain = self._targets.is_certain and bool(self._targets.entries)
         if certain:
             note.targets_digest = self._targets.digest
@@ -236,7 +236,7 @@
         if ask.version is None or ask.version >= self._version:
             return
         for part in configuration_parts(self._version, self._configuration.raw):
-            self._port.hand_on(address, part)
+            self._port.send_configuration_part(address, part)
 
     def _boxes_to_send(self, ask: VouchAsk) -> list[BoxRow] | None:
         """Return the list of boxes if the asking box is unregistered and has a different one."""
@@ -255,7 +255,7 @@
             return
         before = self._sent_lists.get(ask.targets_digest or "")
         for part in list_parts(ask.ask_id, before, entries, self._targets.age_s):
-            self._port.tell_list(address, part)
+            self._port.send_list_part(address, part)
 
     def _receive_answer(self, note: VouchNote) -> None:
         question = self._open_questions.get(note.ask_id)
@@ -271,7 +271,7 @@
             return
         self._pace.note_peer_answer(sent_s)
         table_at = Revision(note.table_era or 0, note.table_revision or 0)
-        self._table_follower.take_peer_revision(table_at)
+        self._table_follower.note_peer_revision(table_at)
         self._apply_configuration(note, sent_s)
         if note.targets_digest and note.targets_age_s is not None:
             self._targets.confirm_from_peer(note.targets_digest, sent_s, note.targets_age_s)
