--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,8 +1,8 @@
-"""A randomized fault soak: the real programs as processes, harmed from outside, promises checked.
+"""Randomized fault-injection tests of a fleet of real processes.
 
-``python -m soak --help`` tells how to run it. A seed decides everything but what the machine's own
-timing decides. Boxes, targets and the store's stand-in run as processes of their own; all
-connections go through loopback proxies; processes are paused, killed, stopped and restarted by
-signals. Callers and targets note what they see, and the promises are checked against their notes
-alone.
+Run ``python -m soak --help`` for the options. A seed determines the faults and the traffic; only
+the timing of the machine varies between runs. Boxes, targets and the stand-in for the store run as
+separate processes. All connections go through loopback proxies, and signals pause, kill, stop and
+restart the processes. Callers and targets record what they observe. The promises, which are the
+guarantees of the serving layer, are checked against these records alone.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m soak``: play seeds and report what broke."""
+"""``python -m soak``: run seeds and report the promises that were violated."""
 
 import argparse
 import random
@@ -16,39 +16,39 @@
 from .boxes import FREE_BOUND_S
 from .callers import Caller, DeadlyCaller, StreamCaller
 from .editor import TableEditor
-from .faults import FaultPlayer
+from .faults import FaultInjector
 from .fleet import Fleet
 from .history import History, read_target_notes
-from .plan import Shape, TargetsPaused, make_plan
-from .promises import RECOVERED_S, Violation, check_all
+from .plan import FleetSize, TargetsPaused, make_plan
+from .promises import RECOVERY_BOUND_S, Violation, check_all
 from .regressions import REGRESSIONS
 
 LENGTH_S = 20.0
-"""How long faults go on by default, in seconds."""
+"""Default duration of the fault injection, in seconds."""
 
-FREE_SLACK_S = 1.0
-"""How long beyond its bound memory may stay set aside before it is looked at, in seconds."""
+MEMORY_SLACK_S = 1.0
+"""Time beyond its bound before reserved memory is checked, in seconds."""
 
 STREAM_CALLERS = 12
-"""How many callers of streams alone there are beside the others where all targets pause: several
-streams are under way at each box then, and the targets have slots for all."""
+"""Number of extra callers that send only streams, used when all targets pause: each box then has
+several streams in flight, and the targets have enough slots for all of them."""
 
-DEADLY_SEEDS = 0.5
-"""Share of the seeds in which a caller has a request that ends targets."""
+DEADLY_SHARE = 0.5
+"""Share of the seeds in which one caller sends a request that crashes targets."""
 
-MOST_SHOWN = 20
-"""How many violations of a seed are printed."""
+MAX_SHOWN = 20
+"""Maximum number of violations printed for each seed."""
 
 OUTPUTS = Path("build/soak")
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Return 0 if no promise was broken."""
+    """Run the seeds and return the exit code: 0 if no promise was violated."""
     args = _parser().parse_args(argv)
     keep_elapsed_time(reactor)
     seeds = [*REGRESSIONS] if args.regressions else _seeds(args)
     status: list[int] = []
-    reactor.callWhenRunning(lambda: start(_play_all(args, seeds, status)))
+    reactor.callWhenRunning(lambda: start(_run_all(args, seeds, status)))
     reactor.run()
     return status[0] if status else 1
 
@@ -58,43 +58,43 @@
     return list(range(first, first + args.seeds))
 
 
-async def _play_all(args: argparse.Namespace, seeds: list[int], status: list[int]) -> None:
+async def _run_all(args: argparse.Namespace, seeds: list[int], status: list[int]) -> None:
     broken = 0
     try:
         for seed in seeds:
-            broken += await _is_broken(args, seed)
+            broken += await _has_violations(args, seed)
     finally:
         print(f"{len(seeds)} seeds, {broken} with a broken promise", flush=True)
         status.append(int(broken > 0))
         reactor.stop()
 
 
-async def _is_broken(args: argparse.Namespace, seed: int) -> bool:
-    """Play a seed; a soak that fails itself counts as broken, with its reason."""
+async def _has_violations(args: argparse.Namespace, seed: int) -> bool:
+    """Run a seed; an exception in the soak itself is printed and counts as a failure."""
     try:
-        return bool(await _play(args, seed))
+        return bool(await _run_seed(args, seed))
     except Exception:
         print(f"seed {seed}: the soak itself failed", flush=True)
         traceback.print_exc(file=sys.stdout)
         return True
 
 
-async def _play(args: argparse.Namespace, seed: int) -> list[Violation]:
+async def _run_seed(args: argparse.Namespace, seed: int) -> list[Violation]:
     directory = _directory(args, seed)
     shutil.rmtree(directory, ignore_errors=True)
     directory.mkdir(parents=True)
-    shape = Shape(args.boxes, args.targets)
+    size = FleetSize(args.boxes, args.targets)
     history = History()
     program = ["soak.guards", args.without] if args.without else ["gladedrum.daemon.start"]
     rng = random.Random(seed)
-    fleet = Fleet(shape, directory, history, rng, program)
-    faults = FaultPlayer(fleet, history, rng)
+    fleet = Fleet(size, directory, history, rng, program)
+    faults = FaultInjector(fleet, history, rng)
     try:
-        await _run(fleet, faults, history, args, seed, shape)
+        await _run(fleet, faults, history, args, seed, size)
     finally:
         await fleet.stop()
     history.notes = read_target_notes(fleet.target_outputs())
-    history.note_ends()
+    history.note_target_ends()
     violations = check_all(history)
     _report(args, seed, history, violations)
     return violations
@@ -102,19 +102,19 @@
 
 async def _run(
     fleet: Fleet,
-    faults: FaultPlayer,
+    faults: FaultInjector,
     history: History,
     args: argparse.Namespace,
     seed: int,
-    shape: Shape,
+    size: FleetSize,
 ) -> None:
     await fleet.start()
-    plan = make_plan(seed, args.length, shape)
-    callers = _make_callers(fleet, history, args.callers, seed, shape)
+    plan = make_plan(seed, args.length, size)
+    callers = _make_callers(fleet, history, args.callers, seed, size)
     if any(isinstance(planned.fault, TargetsPaused) for planned in plan):
-        callers += _make_callers(fleet, history, STREAM_CALLERS, seed, shape, StreamCaller)
-    if random.Random(f"deadly of {seed}").random() < DEADLY_SEEDS:
-        callers += _make_callers(fleet, history, 1, seed, shape, DeadlyCaller)
+        callers += _make_callers(fleet, history, STREAM_CALLERS, seed, size, StreamCaller)
+    if random.Random(f"deadly of {seed}").random() < DEADLY_SHARE:
+        callers += _make_callers(fleet, history, 1, seed, size, DeadlyCaller)
     editor = TableEditor(fleet.web, fleet.boxes, history, random.Random(f"edits of {seed}"))
     running = [start(part.run()) for part in (*callers, editor)]
     for planned in plan:
@@ -122,12 +122,12 @@
     await sleep(reactor, args.length)
     editor.stopping = True
     await fleet.heal()
-    await sleep(reactor, RECOVERED_S + args.rest)
+    await sleep(reactor, RECOVERY_BOUND_S + args.rest)
     for caller in callers:
         caller.stopping = True
     for ended in running:
         await ended
-    await sleep(reactor, FREE_BOUND_S + FREE_SLACK_S)
+    await sleep(reactor, FREE_BOUND_S + MEMORY_SLACK_S)
     history.ended_s = time.monotonic()
     await editor.note_rows()
     await fleet.note_memory()
@@ -138,13 +138,13 @@
     history: History,
     count: int,
     seed: int,
-    shape: Shape,
+    size: FleetSize,
     kind: type[Caller] = Caller,
 ) -> list[Caller]:
     return [
         kind(
             f"{kind.__name__}-{i}", seed * 1000 + i, history,
-            lambda box: fleet.boxes[box].caller_link.port, fleet.start_of_box, shape.boxes,
+            lambda box: fleet.boxes[box].caller_link.port, fleet.start_of_box, size.boxes,
             fleet.all_keys,
         )
         for i in range(count)
@@ -154,13 +154,13 @@
 def _report(
     args: argparse.Namespace, seed: int, history: History, violations: Sequence[Violation]
 ) -> None:
-    served = sum(row.status == 200 for row in history.asked)
+    served = sum(row.status == 200 for row in history.requests)
     print(
-        f"seed {seed}: {len(history.asked)} requests, {served} served, "
-        f"{len(history.happened)} faults, {len(violations)} violations",
+        f"seed {seed}: {len(history.requests)} requests, {served} served, "
+        f"{len(history.incidents)} faults, {len(violations)} violations",
         flush=True,
     )
-    for violation in violations[:MOST_SHOWN]:
+    for violation in violations[:MAX_SHOWN]:
         print(f"  {violation.promise}: {violation.text}", flush=True)
     if violations:
         print(f"  again: {_command(args, seed)}; outputs in {_directory(args, seed)}", flush=True)
@@ -178,15 +178,15 @@
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
-    parser.add_argument("--seed", type=int, help="the first seed; without it, one from the clock")
-    parser.add_argument("--seeds", type=int, default=1, help="how many seeds, one after another")
-    parser.add_argument("--length", type=float, default=LENGTH_S, help="seconds with faults")
-    parser.add_argument("--rest", type=float, default=4.0, help="seconds of traffic at the end")
-    parser.add_argument("--boxes", type=int, default=Shape.boxes)
-    parser.add_argument("--targets", type=int, default=Shape.targets)
+    parser.add_argument("--seed", type=int, help="first seed (default: the current time)")
+    parser.add_argument("--seeds", type=int, default=1, help="number of consecutive seeds")
+    parser.add_argument("--length", type=float, default=LENGTH_S, help="seconds of fault injection")
+    parser.add_argument("--rest", type=float, default=4.0, help="seconds of traffic after recovery")
+    parser.add_argument("--boxes", type=int, default=FleetSize.boxes)
+    parser.add_argument("--targets", type=int, default=FleetSize.targets)
     parser.add_argument("--callers", type=int, default=12)
-    parser.add_argument("--without", metavar="GUARD", help="run boxes without a guard; see guards")
-    parser.add_argument("--regressions", action="store_true", help="all seeds that ever failed")
+    parser.add_argument("--without", metavar="GUARD", help="disable a guard; see soak/guards.py")
+    parser.add_argument("--regressions", action="store_true", help="run the seeds that once failed")
     return parser
 
 
--- a/soak/boxes.py
+++ b/soak/boxes.py
@@ -14,21 +14,23 @@
 __all__ += ["SoakBox"]
 
 LEAVE_BOUND_S, CHANGE_BOUND_S, KEY_BOUND_S, FREE_BOUND_S = 2.0, 2.0, 5.0, 4.0
-"""The bounds in the boxes' settings, in seconds."""
+"""Bounds in the settings of the boxes, in seconds: until a leaving target receives no more
+requests, a changed configuration is in force, a revoked key is refused, and unused memory is
+released."""
 
 STOP_S = 8.0
-"""How long a planned stop may take before the box is killed, in seconds: a stream that it takes
-late in its stop has all the time that its route gives, also if its target pauses."""
+"""Time after which a box that stops gracefully is killed, in seconds: long enough for a stream that
+it accepts late to use the whole time limit of its route, also if its target pauses."""
 
 RETRY_SLACK = 10
-"""The slack of retries in the settings of a new box, in retries: a box has one or two of its own,
-so that streams which move all at once are told from such as need not move."""
+"""Setting `retry_slack` of a new box, in retries: small enough that the retry budget runs out when
+all streams of a box move to other targets at once."""
 
 ANSWER_S = 1.0
-"""How long the readiness page may take to answer, in seconds."""
+"""Timeout of a call to the readiness endpoint, in seconds."""
 
 OPERATOR = "operator-of-the-soak"
-"""What edits of the table must carry."""
+"""Token that authorizes edits of the table."""
 
 _SETTINGS = """\
 [box]
@@ -59,18 +61,18 @@
     Parameters
     ----------
     index : int
-        Its number, from 0.
+        Index of the box, from 0.
     directory : Path
-        Where its settings and outputs go.
+        Directory for its settings and output files.
     store_port : int
-        The port of the store itself; the box gets there through a link.
+        Port of the store; the box connects through a link.
     program : list of str
-        What runs a box, after ``python -m``.
+        Arguments of ``python -m`` that run a box.
 
     Attributes
     ----------
     may_start_s : float
-        Before this time, by the monotonic clock in seconds, it is not started again.
+        Earliest time of its next start, in seconds of the monotonic clock.
     """
 
     def __init__(self, index: int, directory: Path, store_port: int, program: list[str]):
@@ -98,12 +100,12 @@
         self.path.write_text(text)
 
     def kill(self, away_s: float) -> None:
-        """Kill it; it is not started again for `away_s` seconds."""
+        """Kill the process; it is not restarted for `away_s` seconds."""
         self.may_start_s = time.monotonic() + away_s
         self.process.kill()
 
     async def is_ready(self, web: WebClient) -> bool:
-        """Whether it says that callers may come."""
+        """Whether the box reports that it accepts requests."""
         url = f"http://{LOOPBACK}:{self.ready_port}/api/ready"
         try:
             response = await web.send("GET", url, None, None, ANSWER_S)
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers: they send requests on connections that they keep, and note what comes back."""
+"""Callers that send requests over persistent connections and record the responses."""
 
 import dataclasses
 import random
@@ -12,47 +12,47 @@
 from gladedrum.standins.wire_heads import caller_head
 from gladedrum.utils import sleep
 
-from .history import Asked, Ending, History, Kind
+from .history import Ending, History, Kind, SentRequest
 from .proxy import LOOPBACK
 
 __all__ = ["Caller", "DeadlyCaller", "StreamCaller"]
 
 CONNECT_S = 1.0
-"""How long a caller waits for a connection, in seconds."""
+"""Timeout of opening a connection, in seconds."""
 
 PAUSE_S = 0.15
 """Mean pause between two requests of a caller, in seconds."""
 
 ANSWER_SLACK_S = 3.0
-"""How long beyond its limit a caller still listens for an answer, in seconds."""
+"""Time after its limit for which a caller still waits for a response, in seconds."""
 
 PLAIN_PAUSE_MS, EVENT_PAUSE_MS = (5, 120), (10, 60)
-"""How long targets take for a plain answer, and for each event, in milliseconds."""
+"""Shortest and longest time of targets for a plain response and for each event, in milliseconds."""
 
 EVENTS, LONG_EVENTS = (2, 25), (15, 30)
-"""Lengths of streams, and of those that callers of streams alone ask for, in events."""
+"""Shortest and longest streams of a `Caller` and of a `StreamCaller`, in events."""
 
 LONG_LIMIT_S = 5.0
-"""How long callers of streams alone say that they wait, in seconds: through a pause of targets."""
+"""Time limit of a `StreamCaller`, in seconds: longer than a pause of targets."""
 
 NEW_CONN_SHARE = 0.1
-"""How often a caller leaves a connection that it could keep."""
+"""Probability that a caller replaces a connection that it could reuse."""
 
 LIMITS_S = (1.0, 3.0, 5.0)
-"""How long callers say that they wait, in seconds: below and above the routes' limit."""
+"""Time limits of callers, in seconds: below and above the limit of the routes."""
 
 BODY_BYTES = (10, 3000)
-"""Sizes of bodies: in one read with the head, and more."""
+"""Sizes of request bodies, in bytes: small enough for one read with the head, and larger."""
 
 DEADLY_PAUSE_S = 0.5
-"""Mean pause between two attempts of a request that ends targets, in seconds."""
+"""Mean pause between two requests that crash targets, in seconds."""
 
 KINDS, KIND_WEIGHTS = (Kind.ONCE, Kind.REPEATABLE, Kind.STREAM), (3, 2, 4)
-"""Kinds of requests and how often they come."""
+"""Kinds of requests and their relative frequencies."""
 
 PROMPT_TOKENS, PROMPT_WEIGHTS = (500, 5_000, 40_000, 300_000), (5, 5, 3, 1)
-"""Sizes of prompts and how often they come. The longest need the memory of two engines; with more
-of them the few engines are full, and most are refused rightly."""
+"""Sizes of prompts in tokens, and their relative frequencies. The longest need the memory of two
+engines; more of them would fill the few engines, and most requests would be refused."""
 
 
 class _Connection(protocol.Protocol):
@@ -60,20 +60,22 @@
 
     def __init__(self):
         self._http = h11.Connection(h11.CLIENT)
-        self._asked: Asked | None = None
+        self._record: SentRequest | None = None
         self._done: defer.Deferred[None] | None = None
         self.open = True
 
-    def ask(self, asked: Asked, request: h11.Request, body: bytes) -> defer.Deferred[None]:
-        """Send a request; fires when it has ended in whatever way."""
-        self._asked = asked
+    def send_request(
+        self, record: SentRequest, request: h11.Request, body: bytes
+    ) -> defer.Deferred[None]:
+        """Send a request; the deferred fires when it has ended, successfully or not."""
+        self._record = record
         self._done = defer.Deferred()
         self.transport.write(
             self._http.send(request)
             + (self._http.send(h11.Data(data=body)) if body else b"")
             + self._http.send(h11.EndOfMessage())
         )
-        asked.sent_s = time.monotonic()
+        record.sent_s = time.monotonic()
         return self._done
 
     def dataReceived(self, data: bytes) -> None:
@@ -81,13 +83,13 @@
             self._http.receive_data(data)
             self._read()
         except h11.RemoteProtocolError:
-            # What came is no answer; the promises are checked on what was read before.
+            # Not a valid response; the promises are checked against the part read before.
             self._end(Ending.BROKEN)
             self.transport.abortConnection()
 
     def connectionLost(self, reason=None) -> None:
         self.open = False
-        if self._asked is None:
+        if self._record is None:
             return
         try:
             self._http.receive_data(b"")
@@ -97,19 +99,19 @@
         self._end(Ending.BROKEN)
 
     def abandon(self) -> None:
-        """Give up the request under way and the connection."""
+        """Abandon the current request and the connection."""
         self._end(Ending.OPEN)
         self.transport.abortConnection()
 
     def _read(self) -> None:
-        while self._asked is not None:
+        while self._record is not None:
             event = self._http.next_event()
             match event:
                 case h11.Response(status_code=status, headers=headers):
-                    self._asked.status = status
-                    self._asked.answer_id = _request_id(headers)
+                    self._record.status = status
+                    self._record.answer_id = _request_id(headers)
                 case h11.Data(data=data):
-                    self._asked.body += bytes(data)
+                    self._record.body += bytes(data)
                 case h11.EndOfMessage():
                     self._end(Ending.WHOLE)
                     self._next_cycle()
@@ -124,11 +126,11 @@
             self.transport.loseConnection()
 
     def _end(self, ending: Ending) -> None:
-        asked, self._asked = self._asked, None
-        if asked is None:
+        record, self._record = self._record, None
+        if record is None:
             return
-        asked.ending = ending
-        asked.ended_s = time.monotonic()
+        record.ending = ending
+        record.ended_s = time.monotonic()
         self._done.callback(None)
 
 
@@ -137,24 +139,24 @@
 
 
 class Caller:
-    """One caller, which asks until it is told to stop.
+    """A caller that sends requests to random boxes, one at a time, until `stopping` is set.
 
     Parameters
     ----------
     name : str
-        Begins its requests' ids.
+        Prefix of its request ids.
     seed : int
-        Decides what it asks.
+        Seed of its requests.
     history : History
-        Where its requests are noted.
+        Receives the requests.
     port_of_box : callable
-        Returns a box's port for callers.
+        Returns the port for callers of the box with an index.
     start_of_box : callable
-        Returns which start of a box runs.
+        Returns the start number of the box with an index.
     boxes : int
-        How many there are.
+        Number of boxes.
     keys : callable
-        Returns the API keys that the operator has handed out, the ones taken away included.
+        Returns the API keys that the operator has issued, including revoked ones.
     """
 
     _kind_weights, _prompt_weights = KIND_WEIGHTS, PROMPT_WEIGHTS
@@ -183,14 +185,14 @@
         self.stopping = False
 
     async def run(self) -> None:
-        """Ask until told to stop."""
+        """Send requests until `stopping` is set."""
         while not self.stopping:
             await sleep(reactor, self._rng.expovariate(1 / self._pause_s))
             if self._conn is None or not self._conn.open or self._rng.random() < NEW_CONN_SHARE:
                 self._hang_up()
                 self._conn = await self._connect()
             if self._conn is not None and self._conn.open:
-                await self._ask(self._conn)
+                await self._send_next(self._conn)
         self._hang_up()
 
     def _hang_up(self) -> None:
@@ -206,22 +208,22 @@
         except Exception:  # whatever the reason, no request was sent
             return None
 
-    async def _ask(self, conn: _Connection) -> None:
-        asked = self._next_asked()
-        request, body = self._make_request(asked)
-        self._history.asked.append(asked)
-        done = conn.ask(asked, request, body)
-        timer = reactor.callLater(asked.limit_s + ANSWER_SLACK_S, conn.abandon)
+    async def _send_next(self, conn: _Connection) -> None:
+        record = self._next_record()
+        request, body = self._make_request(record)
+        self._history.requests.append(record)
+        done = conn.send_request(record, request, body)
+        timer = reactor.callLater(record.limit_s + ANSWER_SLACK_S, conn.abandon)
         await done
         if timer.active():
             timer.cancel()
 
-    def _next_asked(self) -> Asked:
-        """Decide what is asked for next."""
+    def _next_record(self) -> SentRequest:
+        """Return the record of the next request, with random properties."""
         self._count += 1
         kind = self._rng.choices(KINDS, self._kind_weights)[0]
         events = self._rng.randint(*self._events) if kind is Kind.STREAM else 0
-        return Asked(
+        return SentRequest(
             request_id=f"{self._name}-{self._count}",
             box=self._box,
             start=self._start_of_box(self._box),
@@ -232,37 +234,37 @@
             sent_s=0.0,
         )
 
-    def _make_request(self, asked: Asked) -> tuple[h11.Request, bytes]:
-        """Return the head and the body that ask for it."""
-        events, repeatable = asked.events, asked.kind is Kind.REPEATABLE
+    def _make_request(self, record: SentRequest) -> tuple[h11.Request, bytes]:
+        """Return the head and the body of a request."""
+        events, repeatable = record.events, record.kind is Kind.REPEATABLE
         pause_ms = self._rng.randint(*(EVENT_PAUSE_MS if events else PLAIN_PAUSE_MS))
-        path = f"/{asked.kind.value}/x?events={events}&pause_ms={pause_ms}"
+        path = f"/{record.kind.value}/x?events={events}&pause_ms={pause_ms}"
         body = b"" if repeatable else b"b" * self._rng.choice(BODY_BYTES)
         tokens = self._rng.choices(PROMPT_TOKENS, self._prompt_weights)[0] if events else 0
-        headers = caller_head(asked.request_id, asked.limit_s, asked.key, tokens, len(body))
+        headers = caller_head(record.request_id, record.limit_s, record.key, tokens, len(body))
         method = b"GET" if repeatable else b"POST"
         return h11.Request(method=method, target=path, headers=headers), body
 
 
 class StreamCaller(Caller):
-    """A caller who asks for long streams of short prompts alone, and waits through pauses."""
+    """A caller that requests only long streams for short prompts, and waits through pauses."""
 
     _kind_weights, _prompt_weights = (0, 0, 1), (1, 0, 0, 0)
     _events, _limits_s = LONG_EVENTS, (LONG_LIMIT_S,)
 
 
 class DeadlyCaller(Caller):
-    """A caller with one request that ends each target that runs it, which it sends to any box."""
+    """A caller whose requests are all alike and crash each target that runs them."""
 
     _pause_s = DEADLY_PAUSE_S
 
-    def _next_asked(self) -> Asked:
-        asked = super()._next_asked()
-        return dataclasses.replace(asked, kind=Kind.DEADLY, events=1)
+    def _next_record(self) -> SentRequest:
+        record = super()._next_record()
+        return dataclasses.replace(record, kind=Kind.DEADLY, events=1)
 
-    def _make_request(self, asked: Asked) -> tuple[h11.Request, bytes]:
+    def _make_request(self, record: SentRequest) -> tuple[h11.Request, bytes]:
         body = b"deadly"
-        headers = caller_head(asked.request_id, asked.limit_s, "", PROMPT_TOKENS[0], len(body))
+        headers = caller_head(record.request_id, record.limit_s, "", PROMPT_TOKENS[0], len(body))
         headers = [row for row in headers if row[0] != wire.AUTHORIZATION]
         path = f"/{Kind.DEADLY.value}/x?events=1&ends=1"
         return h11.Request(method=b"POST", target=path, headers=headers), body
--- a/soak/editor.py
+++ b/soak/editor.py
@@ -1,4 +1,4 @@
-"""An operator of a soak who edits the table of weights and limits, at one box after another."""
+"""An operator who edits the table of weights and limits through randomly chosen boxes."""
 
 import random
 import time
@@ -17,24 +17,24 @@
 """Mean time between two edits, in seconds."""
 
 ANSWER_S = 4.0
-"""How long an edit may take, in seconds; after that its author does not know."""
+"""Timeout of an edit, in seconds; after it the result is unknown."""
 
 _HEADERS = {"authorization": f"Bearer {OPERATOR}"}
 
 
 class TableEditor:
-    """Each edit sets a cell of a row of its own, so that no edit undoes another.
+    """Edits the table; each edit sets a cell in a new row, so that no edit reverts another.
 
     Parameters
     ----------
     web : WebClient
-        Calls boxes.
+        Client for calls to boxes.
     boxes : list of SoakBox
-        Where edits are made.
+        Boxes that receive the edits.
     history : History
-        Where accepted edits are noted.
+        Receives the accepted edits.
     rng : random.Random
-        Chooses box and time.
+        Source of the box and the time of each edit.
     """
 
     def __init__(self, web: WebClient, boxes: list[SoakBox], history: History, rng: random.Random):
@@ -45,7 +45,7 @@
         self.stopping = False
 
     async def run(self) -> None:
-        """Edit until told to stop."""
+        """Edit until `stopping` is set."""
         number = 0
         while not self.stopping:
             number += 1
@@ -65,11 +65,11 @@
             self._history.edited.append(Edited(time.monotonic(), box.index, row))
 
     async def note_rows(self) -> None:
-        """Note which rows each box that answers shows at the end."""
+        """Record the rows of the table at each box that responds."""
         for box in self._boxes:
             url = f"http://{LOOPBACK}:{box.ready_port}/table/rows"
             try:
                 reply = await self._web.call_json("GET", url, None, ANSWER_S)
             except (NotSentError, LostAnswerError):
                 continue
-            self._history.rows_left[box.index] = set(reply.body["rows"])
+            self._history.final_rows[box.index] = set(reply.body["rows"])
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: the store, boxes and targets as processes, and the links between them."""
+"""The fleet of a soak: the processes of store, boxes and targets, and the links between them."""
 
 import random
 import signal
@@ -13,7 +13,7 @@
 from .boxes import SoakBox
 from .history import History
 from .operator import KEYS, Operator
-from .plan import Shape
+from .plan import FleetSize
 from .processes import Process, free_port
 from .proxy import LOOPBACK, LinkProxy, Passing
 from .targets import SoakTarget
@@ -22,43 +22,43 @@
 __all__ = ["Fleet"]
 
 RESTART_CHECK_S = 0.1
-"""How often it is looked for processes that have ended, in seconds."""
+"""Interval at which ended processes are looked for, in seconds."""
 
 SWITCH_S = 5.0
-"""How long the store's stand-in may take to change its switches, in seconds."""
+"""Timeout of a call that sets switches of the store's stand-in, in seconds."""
 
-_SOUND_STORE = {"outage": False, "silent": False, "delay_s": 0.0, "lose_answers": 0}
+_NORMAL_STORE = {"outage": False, "silent": False, "delay_s": 0.0, "lose_answers": 0}
 
 
 class Fleet:
-    """All processes and links.
+    """All processes and links of a run.
 
     Parameters
     ----------
-    shape : Shape
-        How many boxes and targets.
+    size : FleetSize
+        Number of boxes and targets.
     directory : Path
-        Where settings and outputs go.
+        Directory for settings and output files.
     history : History
-        Where changes are noted.
+        Receives the operator's changes and the final state of the targets.
     rng : random.Random
-        Decides the versions that the operator writes.
+        Source of the version numbers that the operator writes.
     box_program : list of str
-        What runs a box, after ``python -m``.
+        Arguments of ``python -m`` that run a box.
 
     Attributes
     ----------
     boxes, targets : list
-        By their numbers.
+        Boxes and targets by index.
     operator : Operator
         Writes the configuration.
     web : WebClient
-        Calls boxes and stand-ins directly, past the links.
+        Calls boxes and stand-ins directly, without the links.
     """
 
     def __init__(
         self,
-        shape: Shape,
+        size: FleetSize,
         directory: Path,
         history: History,
         rng: random.Random,
@@ -72,53 +72,59 @@
         client = StoreClient(f"{LOOPBACK}:{self._store_port}", self.web)
         self.operator = Operator(client, history, rng)
         self.boxes = [
-            SoakBox(i, directory, self._store_port, box_program) for i in range(shape.boxes)
+            SoakBox(i, directory, self._store_port, box_program) for i in range(size.boxes)
         ]
-        plain = max(1, shape.targets // 2)
+        plain = max(1, size.targets // 2)
         self.targets = [
             SoakTarget(i, directory, self._store_port, "plain" if i < plain else "pool")
-            for i in range(shape.targets)
+            for i in range(size.targets)
         ]
-        self._keeping = task.LoopingCall(self._keep_running)
-        # If the soak itself is stopped in the middle.
+        self._supervision = task.LoopingCall(self._restart_ended)
+        # Leaves no processes behind if the soak is interrupted.
         reactor.addSystemEventTrigger("before", "shutdown", self.kill)
 
     # Start and end.
 
     async def start(self) -> None:
-        """Start everything; returns when all boxes are ready, or raises `TimeoutError`."""
+        """Start all processes and wait until all boxes are ready.
+
+        Raises
+        ------
+        TimeoutError
+            If the store or a box is not ready in time.
+        """
         self._store.start()
-        await until("the store answers", self.operator.put_version)
+        await until("the store answers", self.operator.write_version)
         for target in self.targets:
             target.process.start()
         for box in self.boxes:
             box.process.start()
         await until("all boxes are ready", self._all_ready)
-        self._keeping.start(RESTART_CHECK_S)
+        self._supervision.start(RESTART_CHECK_S)
 
     async def heal(self) -> None:
-        """Make all links and the store sound, and let paused processes go on."""
+        """End all faults of links, store and paused boxes."""
         for link in self._links():
             link.set_mode(Passing())
-        await self.switch_store(_SOUND_STORE)
+        await self.switch_store(_NORMAL_STORE)
         for box in self.boxes:
             box.process.send(signal.SIGCONT)
 
     def kill(self) -> None:
-        """End all processes."""
-        if self._keeping.running:
-            self._keeping.stop()
+        """Kill all processes."""
+        if self._supervision.running:
+            self._supervision.stop()
         for process in self._processes():
             process.end()
 
     async def stop(self) -> None:
-        """End all processes and close all links."""
+        """Kill all processes and close all links."""
         self.kill()
         await self.web.close()
         await defer.gatherResults([defer.maybeDeferred(link.close) for link in self._links()])
 
-    def _keep_running(self) -> None:
-        """Start again what has ended, as the platform does."""
+    def _restart_ended(self) -> None:
+        """Restart processes that have ended, as the platform does in production."""
         now_s = time.monotonic()
         for unit in (*self.boxes, *self.targets):
             if not unit.process.is_alive and now_s >= unit.may_start_s:
@@ -127,33 +133,33 @@
     async def _all_ready(self) -> bool:
         return all([await box.is_ready(self.web) for box in self.boxes])
 
-    # What callers and checks need to know.
+    # State that callers and checks read.
 
     def start_of_box(self, index: int) -> int:
-        """Return which start of a box runs."""
+        """Return how often a box has been started, which identifies its current process."""
         return len(self.boxes[index].process.starts_s)
 
     def all_keys(self) -> list[str]:
-        """Return the keys that callers use, those taken away included; the first comes twice."""
+        """Return the keys that callers use, also revoked ones; the first has double weight."""
         return [KEYS[0], *KEYS]
 
     async def note_memory(self) -> None:
-        """Note the memory that is still set aside on each target."""
+        """Record the memory that is still reserved on each target."""
         for target in self.targets:
 
             async def is_noted(target: SoakTarget = target) -> bool:
                 held = await target.reserved_tokens(self.web)
                 if held is not None:
-                    self._history.memory_left[target.process.name] = held
+                    self._history.final_reserved_tokens[target.process.name] = held
                 return held is not None
 
-            await until(f"{target.process.name} tells its memory", is_noted)
+            await until(f"{target.process.name} reports its memory", is_noted)
 
     def target_outputs(self) -> list[Path]:
-        """Return the files with the targets' notes."""
+        """Return the output files that contain the targets' notes."""
         return [path for target in self.targets for path in target.process.outputs()]
 
-    # What faults need.
+    # Access for the fault injection.
 
     async def switch_store(self, switches: dict[str, object]) -> None:
         """Set switches of the store's stand-in."""
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -1,7 +1,7 @@
-"""``python -m soak.guards GUARD ...``: a box without one of its guards.
+"""``python -m soak.guards GUARD ...``: run a box with one guard disabled.
 
-A soak of such boxes must find the promise broken that the guard stands for; otherwise it proves
-nothing about it.
+A guard is the code that keeps one promise. A soak of boxes without it must report violations of
+that promise; otherwise the soak doesn't test it.
 """
 
 import sys
@@ -27,34 +27,34 @@
 __all__ = ["GUARDS", "run_without"]
 
 
-def _repeat_everything() -> None:
-    """Send a request again, whatever may have run."""
+def _always_send_again() -> None:
+    """Send a request again even if it may have run already."""
     life.RequestTask._may_run_again = lambda task: task._now_s() < task._until_s
 
 
-def _call_lost_not_run() -> None:
-    """Tell callers that a request has not run when nobody knows."""
+def _report_lost_as_not_run() -> None:
+    """Report that a request has not run when that is unknown."""
     fail = life.CallerAnswer.fail
     life.CallerAnswer.fail = lambda answer, outcome: (
         fail(answer, outcome) if answer.begun else answer.refuse(NotRun("lost", 0.1))
     )
 
 
-def _trust_old_keys() -> None:
-    """Trust keys whatever the age of the configuration."""
+def _accept_stale_keys() -> None:
+    """Accept API keys however stale the configuration is."""
     Admission.keys_are_vouched_for = property(lambda _admission: True)
 
 
 def _send_to_leaving() -> None:
-    """Send requests to targets that leave, and to such as are gone."""
+    """Send requests to targets that are leaving or gone."""
     TargetKeeper.may_get_work = lambda _keeper, _name: True
     TargetKeeper.usable = lambda keeper, service: [
         entry for entry in keeper.entries.values() if entry.service == service
     ]
 
 
-def _end_at_once() -> None:
-    """End a planned stop without waiting for requests."""
+def _stop_without_draining() -> None:
+    """Exit on a graceful stop without waiting for requests."""
 
     async def drain_nothing(_box: ForwardingBox) -> None:
         return None
@@ -62,8 +62,8 @@
     ForwardingBox._drain = drain_nothing
 
 
-def _give_up_silent() -> None:
-    """End a silent try before another target is looked for."""
+def _end_silent_attempts() -> None:
+    """End a silent attempt before looking for another target."""
     look = HedgedTries._look
 
     def give_up_or_look(tries: HedgedTries, now_s: float) -> TryEnd | None:
@@ -77,15 +77,15 @@
 
 
 def _keep_memory() -> None:
-    """Do not give memory back, and set it aside for long."""
+    """Never release reserved memory, and reserve it for a long time."""
     ReservationSet.release = lambda _reservations: None
     ReservationSet._hold_s = property(
         lambda _reservations: 20.0, lambda _reservations, _value: None
     )
 
 
-def _take_any_answer() -> None:
-    """Take any answer for one's own, and keep connections whatever was left on them."""
+def _accept_any_response() -> None:
+    """Accept any response, and reuse connections that may have unread bytes."""
 
     def give_up(exchange: target_conn.Exchange) -> None:
         exchange.over = True
@@ -96,16 +96,16 @@
     target_conn.Exchange.give_up = give_up
 
 
-def _never_read_again() -> None:
-    """Keep the first configuration."""
+def _ignore_changes() -> None:
+    """Keep the first configuration and ignore later ones."""
     apply = ConfigurationKeeper._apply
     ConfigurationKeeper._apply = lambda keeper, table: (
         apply(keeper, table) if keeper.table is None else None
     )
 
 
-def _let_versions_revert() -> None:
-    """Put whatever version comes in force, an earlier one at times."""
+def _apply_older_versions() -> None:
+    """Apply each version that is read, sometimes an earlier one."""
     seen: list = []
 
     def apply(keeper: ConfigurationKeeper, table) -> None:
@@ -117,59 +117,59 @@
     ConfigurationKeeper._apply = apply
 
 
-def _blame_targets_alone() -> None:
-    """Note no losses of requests."""
+def _ignore_losses() -> None:
+    """Don't record which requests were lost with their target."""
     Suspicion.note_lost = lambda _suspicion, *_loss: None
 
 
-def _overlook_rates() -> None:
-    """Read no rate that a target names."""
+def _ignore_rates() -> None:
+    """Ignore the rate that a target advertises."""
     TargetRates.note_rate = lambda _rates, *_said: None
 
 
-def _overlook_leaving() -> None:
-    """Heed no target's word that it leaves, but for the store's list."""
+def _ignore_announced_leaving() -> None:
+    """Ignore a target's own announcement that it leaves; use only the list in the store."""
     TargetKeeper.note_leaving = lambda _keeper, *_start: False
 
 
-def _overlook_rest() -> None:
-    """Leave no target alone for as long as it has asked."""
+def _ignore_backoff() -> None:
+    """Ignore the backoff that a target asks for."""
     FleetView.note_rest = lambda _view, *_rest: None
 
 
-def _overlook_eras() -> None:
-    """Take a store that has come back from a copy for the one before."""
+def _ignore_eras() -> None:
+    """Don't detect that the store was restored from a copy."""
     StoreClient._note_era = lambda client, _reply: client.era
 
 
-def _forget_edits() -> None:
-    """Take the store's table for whole, whatever edits a box holds."""
+def _ignore_lost_edits() -> None:
+    """Don't restore edits that a box holds and the store has lost."""
     follow.lost_edits = lambda _held, _head: []
 
 
 GUARDS: dict[str, Callable[[], None]] = {
-    "runs-once": _repeat_everything,
-    "not-run": _call_lost_not_run,
-    "keys": _trust_old_keys,
+    "runs-once": _always_send_again,
+    "not-run": _report_lost_as_not_run,
+    "keys": _accept_stale_keys,
     "leaving": _send_to_leaving,
-    "stop": _end_at_once,
-    "live-streams": _give_up_silent,
+    "stop": _stop_without_draining,
+    "live-streams": _end_silent_attempts,
     "memory": _keep_memory,
-    "own-answers": _take_any_answer,
-    "changes": _never_read_again,
-    "versions": _let_versions_revert,
-    "ends": _blame_targets_alone,
-    "rates": _overlook_rates,
-    "told-leaving": _overlook_leaving,
-    "rest": _overlook_rest,
-    "eras": _overlook_eras,
-    "edits": _forget_edits,
+    "own-answers": _accept_any_response,
+    "changes": _ignore_changes,
+    "versions": _apply_older_versions,
+    "ends": _ignore_losses,
+    "rates": _ignore_rates,
+    "told-leaving": _ignore_announced_leaving,
+    "rest": _ignore_backoff,
+    "eras": _ignore_eras,
+    "edits": _ignore_lost_edits,
 }
-"""What each guard's absence is brought about by."""
+"""Functions that disable a guard, by the guard's name."""
 
 
 def run_without(guard: str, argv: list[str]) -> int:
-    """Run a box without a guard; returns its exit code."""
+    """Run a box with a guard disabled and return its exit code."""
     GUARDS[guard]()
     return main(argv)
 
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,4 +1,4 @@
-"""What callers, targets and the operator have seen in a soak."""
+"""Records of a soak run: what callers, targets and the operator observed."""
 
 import json
 from collections.abc import Iterable
@@ -8,31 +8,34 @@
 from typing import Any, NamedTuple
 
 __all__ = [
-    "STORE_RETURNED",
+    "STORE_RESTORED",
     "TARGET_ENDED",
-    "Asked",
     "Edited",
     "Ending",
-    "Happened",
     "History",
+    "Incident",
     "Kind",
+    "SentRequest",
     "TargetNote",
 ]
 __all__ += ["read_target_notes"]
 
 
 TARGET_ENDED = "ended by"
-"""What a target notes of the request that ends it."""
+"""Type of the note that a target writes when a request crashes it."""
 
-STORE_RETURNED = "store from a copy"
-"""What is noted while the store comes back from a copy."""
+STORE_RESTORED = "store from a copy"
+"""Type of the incident while the store is restored from a copy."""
 
 ENDED_S = 1.0
-"""How long a target is away then, in seconds."""
+"""How long a target is unavailable after such a crash, in seconds."""
 
 
 class Kind(Enum):
-    """What may be repeated of a request; a deadly one is a stream that ends its target."""
+    """Whether a request may be sent again: never, at any time, or from the last event on.
+
+    `DEADLY` is a stream that crashes its target.
+    """
 
     ONCE = "once"
     REPEATABLE = "repeatable"
@@ -41,7 +44,7 @@
 
 
 class Ending(Enum):
-    """How a request ended for its caller; `OPEN` if it waited in vain, or still waits."""
+    """How a request ended for its caller; `OPEN` if the caller timed out or still waits."""
 
     OPEN = "open"
     WHOLE = "whole"
@@ -49,21 +52,21 @@
 
 
 @dataclass
-class Asked:
-    """A request, as its caller knows it; times by the machine's monotonic clock, in seconds.
+class SentRequest:
+    """A request as its caller observed it; times are in seconds of the monotonic clock.
 
     Parameters
     ----------
     request_id : str
-        Unique.
+        Unique id.
     box, start : int
-        The box that got it, and which start of it.
+        Index of the box that received it, and that box's start number.
     kind : Kind
-        What may be repeated.
+        Whether it may be sent again.
     key : str
         Its API key.
     events : int
-        How many events its stream has, 0 for a plain request.
+        Number of events in its stream, 0 for a plain request.
     limit_s : float
         How long its caller waits.
     sent_s : float
@@ -72,13 +75,13 @@
     Attributes
     ----------
     status : int or None
-        Status of the answer, None before its head.
+        Status of the response, None until its head has arrived.
     answer_id : str
-        The request id that the answer names.
+        Request id in the response headers.
     body : bytes
-        What came of the answer's body.
+        The part of the response body that has arrived.
     ending, ended_s : Ending, float
-        How and when it ended; 0 before.
+        How and when it ended; `ended_s` is 0 until then.
     """
 
     request_id: str
@@ -97,7 +100,7 @@
 
 
 class TargetNote(NamedTuple):
-    """What a target noted: what arrived or ran, its own start and end, what it said of itself."""
+    """A line of a target's output: a request that arrived or ran, or a change of its own state."""
 
     at_s: float
     target: str
@@ -108,19 +111,19 @@
     rest_s: float | None = None
 
 
-class Happened(NamedTuple):
-    """A fault or a change, from its beginning to its end.
+class Incident(NamedTuple):
+    """A fault or a planned change, with its duration.
 
     Parameters
     ----------
     from_s, to_s : float
-        By the machine's monotonic clock; `to_s` is infinity while it lasts.
+        Start and end by the monotonic clock, in seconds; `to_s` is infinity while it lasts.
     what : str
-        The class of the fault.
+        Type of the incident, such as ``"paused"``.
     box : int or None
-        The box that it strikes alone, None if it strikes others too.
+        Index of the only box affected, None if it affects more.
     planned : bool
-        Whether it is planned work, or a pause of targets; neither excuses anything.
+        Whether it is planned work or normal behavior of targets, during which all promises hold.
     """
 
     from_s: float
@@ -131,7 +134,7 @@
 
 
 class Edited(NamedTuple):
-    """An accepted edit of the table: when, at which box, and the row that it made."""
+    """An accepted edit of the table: its time, the index of the box, and the row it created."""
 
     at_s: float
     box: int
@@ -140,58 +143,58 @@
 
 @dataclass
 class History:
-    """All that was seen; times by the machine's monotonic clock, in seconds.
+    """All records of a run; times are in seconds of the monotonic clock.
 
     Parameters
     ----------
-    asked : list of Asked
-        What callers sent.
+    requests : list of SentRequest
+        Requests of all callers.
     notes : list of TargetNote
-        What targets noted, read when the soak is over.
-    happened : list of Happened
-        Faults and changes.
+        Notes of all targets, read after the run.
+    incidents : list of Incident
+        Faults and planned changes.
     versions : list of tuple
-        When a version of the configuration was acknowledged, and which.
-    keys_taken : dict of str to float
-        When it was acknowledged that a key is taken away.
-    not_played : list of str
-        Faults that could not be brought about.
+        Time at which the store acknowledged a configuration version, and the version.
+    keys_revoked : dict of str to float
+        Time at which the store acknowledged the revocation, by key.
+    not_injected : list of str
+        Faults that could not be injected.
     edited : list of Edited
-        Edits of the table that were accepted.
-    rows_left : dict of int to set of str
-        The rows of the table at the end, by the box that shows them.
-    memory_left : dict of str to int
-        Tokens still set aside at the end, by target.
+        Accepted edits of the table.
+    final_rows : dict of int to set of str
+        Rows of the table at the end, by index of the box that reported them.
+    final_reserved_tokens : dict of str to int
+        Tokens still reserved at the end, by target.
     ended_s : float
-        When the last look was taken.
+        Time of the final checks.
     """
 
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[SentRequest] = field(default_factory=list)
     notes: list[TargetNote] = field(default_factory=list)
-    happened: list[Happened] = field(default_factory=list)
+    incidents: list[Incident] = field(default_factory=list)
     versions: list[tuple[float, int]] = field(default_factory=list)
-    keys_taken: dict[str, float] = field(default_factory=dict)
-    not_played: list[str] = field(default_factory=list)
+    keys_revoked: dict[str, float] = field(default_factory=dict)
+    not_injected: list[str] = field(default_factory=list)
     edited: list[Edited] = field(default_factory=list)
-    rows_left: dict[int, set[str]] = field(default_factory=dict)
-    memory_left: dict[str, int] = field(default_factory=dict)
+    final_rows: dict[int, set[str]] = field(default_factory=dict)
+    final_reserved_tokens: dict[str, int] = field(default_factory=dict)
     ended_s: float = 0.0
 
-    def note_ends(self) -> None:
-        """Note the ends that requests have brought about; they cut what ran beside them."""
-        self.happened += [
-            Happened(note.at_s, note.at_s + ENDED_S, TARGET_ENDED, None, False)
+    def note_target_ends(self) -> None:
+        """Record crashes caused by requests as incidents: they also cut other requests."""
+        self.incidents += [
+            Incident(note.at_s, note.at_s + ENDED_S, TARGET_ENDED, None, False)
             for note in self.notes
             if note.what == TARGET_ENDED
         ]
 
     def ran(self) -> Iterable[TargetNote]:
-        """Return the notes of requests that ran."""
+        """Iterate over the notes of requests that ran."""
         return (note for note in self.notes if note.what == "ran")
 
 
 def read_target_notes(paths: Iterable[Path]) -> list[TargetNote]:
-    """Return the notes in the outputs of targets; a line that was cut by a kill is passed over."""
+    """Return the targets' notes by time; a line truncated by a kill is skipped."""
     notes = []
     for path in paths:
         for line in path.read_text().splitlines():
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: writes versions of the configuration and takes keys away."""
+"""The operator of a soak, who writes versions of the configuration and revokes API keys."""
 
 import random
 import time
@@ -19,7 +19,7 @@
 __all__ = ["KEYS", "TIME_LIMIT_S", "Operator"]
 
 KEYS = ("main", "k1", "k2", "k3", "k4")
-"""The operator's keys; the first is never taken away."""
+"""API keys in the first configuration; the first key is never revoked."""
 
 
 class Operator:
@@ -28,11 +28,11 @@
     Parameters
     ----------
     client : StoreClient
-        The store.
+        Client of the store.
     history : History
-        Where versions and keys that were taken away are noted.
+        Receives acknowledged versions and revoked keys.
     rng : random.Random
-        Decides by how much versions rise.
+        Source of the increments of the version number.
     """
 
     def __init__(self, client: StoreClient, history: History, rng: random.Random):
@@ -41,20 +41,20 @@
         self._rng = rng
         self._version = 0
         self._keys = list(KEYS)
-        self._one_write = defer.DeferredLock()
+        self._write_lock = defer.DeferredLock()
 
-    async def put_version(self) -> bool:
-        """Write a new version; False if the store did not say that it has taken it.
+    async def write_version(self) -> bool:
+        """Write a new version; False if the store did not acknowledge it.
 
-        One after another, and only over the version that was read: a write that the store does
-        late must not take the place of a newer one.
+        Writes are serialized and conditional on the revision that was read, so that a delayed write
+        cannot replace a newer version.
         """
-        return await self._one_write.run(self._put)
+        return await self._write_lock.run(self._locked_write)
 
-    def _put(self) -> defer.Deferred[bool]:
-        return start(self._put_next())
+    def _locked_write(self) -> defer.Deferred[bool]:
+        return start(self._write_next())
 
-    async def _put_next(self) -> bool:
+    async def _write_next(self) -> bool:
         self._version += self._rng.randint(1, 3)
         raw = configuration_bytes(_table(self._version, self._keys))
         try:
@@ -66,29 +66,30 @@
         self._history.versions.append((time.monotonic(), self._version))
         return True
 
-    async def take_key(self) -> None:
-        """Take a key away, if another than the first is left."""
+    async def revoke_key(self) -> None:
+        """Revoke a key, unless only the first one is left."""
         if len(self._keys) > 1:
             key = self._keys.pop()
-            await until("a key is taken away", self.put_version)
-            self._history.keys_taken[key] = time.monotonic()
+            await until("a key is revoked", self.write_version)
+            self._history.keys_revoked[key] = time.monotonic()
 
 
 TIME_LIMIT_S = 4.0
-"""How long the routes let a request take, in seconds."""
+"""Time limit of a request in the routes, in seconds."""
 
 PAUSE_OBJECTIVE_S = 0.1
-"""The pause between events that routes aim at, in seconds: so small that a box counts on callers
-who wait 2 s for an event."""
+"""Objective of the routes for the pause between events, in seconds: so short that a box assumes
+that callers wait 2 s for an event."""
 
 
 def _table(version: int, keys: list[str]) -> RouteTable:
-    """Return a version: all keys belong to an organisation whose name tells the version."""
+    """Return a configuration; all keys belong to an organisation named after the version."""
     routes = (
         _route(Kind.ONCE, "plain"),
         _route(Kind.REPEATABLE, "plain", repeatable=True, max_targets=2),
         _route(Kind.STREAM, "pool", streaming=True, resumable=True, max_targets=3),
-        # Without a key: its owner has another name in each version, and so it would be another one.
+        # Anonymous: the organisation's name changes with each version, which would make it another
+        # request.
         _route(Kind.DEADLY, "pool", streaming=True, resumable=True, max_targets=2, anonymous=True),
     )
     services = {"plain": Service("plain"), "pool": Service("pool", ENGINE)}
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,8 @@
-"""What happens in a soak, and when: made from a seed alone."""
+"""The schedule of faults of a soak run, generated from a seed.
+
+A plan mixes faults, such as kills and network partitions, with planned work, such as restarts and
+changes of settings.
+"""
 
 import random
 from collections.abc import Sequence
@@ -13,29 +17,29 @@
     "BoxPaused",
     "BoxStopped",
     "Fault",
-    "KeyTaken",
-    "LinkHarmed",
-    "Planned",
+    "FleetSize",
+    "KeyRevoked",
+    "LinkFault",
+    "PlannedFault",
     "SettingsChanged",
-    "Shape",
-    "StoreFromCopy",
-    "StoreHarmed",
+    "StoreFault",
+    "StoreRestored",
+    "TargetAdvertises",
     "TargetFails",
     "TargetKilled",
     "TargetLeaves",
-    "TargetSays",
     "TargetsPaused",
-    "VersionPut",
+    "VersionWritten",
     "make_plan",
 ]
 
 DATA_HALLS = 3
-"""Over so many data halls boxes and targets are spread, one after another."""
+"""Number of data halls; boxes and targets are assigned to them in turn."""
 
 
 @dataclass(frozen=True)
-class Shape:
-    """The size of a soak's fleet."""
+class FleetSize:
+    """Number of boxes and targets in a soak."""
 
     boxes: int = 4
     targets: int = 6
@@ -43,7 +47,7 @@
 
 @dataclass(frozen=True)
 class BoxPaused:
-    """A box stands still and goes on (SIGSTOP, SIGCONT)."""
+    """A box is paused and resumed (SIGSTOP, SIGCONT)."""
 
     box: int
     for_s: float
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True)
 class BoxKilled:
-    """A box is killed and started again after a while."""
+    """A box is killed (SIGKILL) and restarted after `for_s`."""
 
     box: int
     for_s: float
@@ -59,28 +63,28 @@
 
 @dataclass(frozen=True)
 class AllBoxesKilled:
-    """All boxes are killed at once and started again after a while."""
+    """All boxes are killed at once and restarted after `for_s`."""
 
     for_s: float
 
 
 @dataclass(frozen=True)
 class BoxStopped:
-    """A box is told to stop (SIGTERM), and started again when it has ended."""
+    """A box is stopped gracefully (SIGTERM) and restarted once it has exited."""
 
     box: int
 
 
 @dataclass(frozen=True)
 class SettingsChanged:
-    """A box's settings file changes, with a signal (SIGHUP)."""
+    """A box's settings file changes and the box reloads it (SIGHUP)."""
 
     box: int
 
 
 @dataclass(frozen=True)
-class LinkHarmed:
-    """One link is harmed: ``store N`` of box N, ``target N``, or ``caller N`` to box N."""
+class LinkFault:
+    """A link is disturbed: ``store N`` of box N, ``target N``, or ``caller N`` to box N."""
 
     link: str
     mode: LinkMode
@@ -88,8 +92,8 @@
 
 
 @dataclass(frozen=True)
-class StoreHarmed:
-    """A switch of the store's stand-in, with the value that it has meanwhile."""
+class StoreFault:
+    """A switch of the store's stand-in is set to `value` for `for_s`."""
 
     switch: str
     value: bool | int | float
@@ -97,15 +101,15 @@
 
 
 @dataclass(frozen=True)
-class StoreFromCopy:
-    """The store comes back from a copy of itself that was taken so many seconds before."""
+class StoreRestored:
+    """The store is restored from a copy that is `copy_age_s` old."""
 
     copy_age_s: float
 
 
 @dataclass(frozen=True)
 class TargetKilled:
-    """A target is killed and started again after a while, under another name."""
+    """A target is killed and restarted after `for_s`, under another name."""
 
     target: int
     for_s: float
@@ -113,14 +117,14 @@
 
 @dataclass(frozen=True)
 class TargetLeaves:
-    """A target says that it leaves, serves on, ends, and is started again."""
+    """A target announces that it leaves, keeps serving, exits, and is restarted."""
 
     target: int
 
 
 @dataclass(frozen=True)
 class TargetFails:
-    """A target's next answers fail in one way."""
+    """The next `count` responses of a target fail in the way that `switch` names."""
 
     target: int
     switch: str
@@ -128,11 +132,11 @@
 
 
 @dataclass(frozen=True)
-class TargetSays:
-    """A target says something of itself, and after a while no more.
+class TargetAdvertises:
+    """A target advertises a limit for `for_s`.
 
-    `switch` is a switch of the stand-in: the rate that it takes from all boxes, or for how long it
-    wants rest from each box that it turns away.
+    `switch` is a switch of the stand-in: the request rate that the target accepts from all boxes
+    together, or the backoff that it asks of each box whose request it rejects.
     """
 
     target: int
@@ -143,209 +147,217 @@
 
 @dataclass(frozen=True)
 class TargetsPaused:
-    """All targets pause between events, answer reports meanwhile, and go on."""
+    """All targets pause between events and resume; meanwhile they still answer reports."""
 
     for_s: float
 
 
 @dataclass(frozen=True)
-class VersionPut:
+class VersionWritten:
     """The operator writes a new version of the configuration."""
 
 
 @dataclass(frozen=True)
-class KeyTaken:
-    """The operator takes a key away."""
+class KeyRevoked:
+    """The operator revokes a key."""
 
 
 Fault = (
-    BoxPaused | BoxKilled | AllBoxesKilled | BoxStopped | SettingsChanged | LinkHarmed
-    | StoreFromCopy | StoreHarmed | TargetKilled | TargetLeaves | TargetFails | TargetSays
-    | TargetsPaused | VersionPut | KeyTaken
+    BoxPaused | BoxKilled | AllBoxesKilled | BoxStopped | SettingsChanged | LinkFault
+    | StoreRestored | StoreFault | TargetKilled | TargetLeaves | TargetFails | TargetAdvertises
+    | TargetsPaused | VersionWritten | KeyRevoked
 )  # fmt: skip
 
 
 @dataclass(frozen=True)
-class Planned:
-    """A fault, and when it begins in seconds from the start of traffic."""
+class PlannedFault:
+    """A fault and its start time, in seconds from the start of traffic."""
 
     at_s: float
     fault: Fault
 
 
-QUIET_S = 3.0
-"""Seconds without faults at the start."""
+WARMUP_S = 3.0
+"""Time without faults at the start, in seconds."""
 
 MEAN_GAP_S = 0.9
-"""Mean time between two faults, in seconds; they last longer, so they overlap."""
-
-CALM_SHARE = 0.3
-"""Share of seeds that have planned work only."""
+"""Mean time between two faults, in seconds; most faults last longer, so they overlap."""
 
-TWICE_SHARE, TWICE_WITHIN_S = 0.2, 0.5
-"""How often a fault strikes a second time, and within how many seconds."""
+PLANNED_ONLY_SHARE = 0.3
+"""Share of the seeds that have only planned work."""
 
-KEY_IN_CUT_SHARE = 0.08
-"""How often a key is taken away while a box is cut off from the store for longer than its bound."""
+REPEAT_SHARE, REPEAT_WITHIN_S = 0.2, 0.5
+"""Share of the faults that are repeated, and the longest delay of the repetition in seconds."""
 
+REVOKE_IN_PARTITION_SHARE = 0.08
+"""Probability, at each step, that a key is revoked during a network partition between a box and the
+store that outlasts the bound on keys."""
 
-LONGEST_CUT_S = 10.0
-"""The longest cut that is to outlast the bound on keys, in seconds; all is healed at the end."""
+MAX_PARTITION_S = 10.0
+"""Time reserved before the end for such a partition, in seconds; all links are restored then."""
 
-LONG_CUT_SEEDS = 0.5
-"""Share of the seeds with faults in which such a cut surely is, with a key taken away in it."""
+LONG_PARTITION_SHARE = 0.5
+"""Share of the seeds with faults that get one more such partition with a revoked key."""
 
-PAUSE_SEEDS = 0.6
-"""Share of all seeds in which all targets pause together while planned work is under way."""
+PAUSES_SHARE = 0.6
+"""Share of all seeds in which all targets pause together during planned work."""
 
 PAUSED_S = (1.4, 1.9)
-"""How long such a pause lasts, in seconds: longer than a box waits before it moves a stream, and
+"""Shortest and longest pause, in seconds: longer than a box waits before it moves a stream, and
 shorter than callers wait for an event."""
 
 PAUSES, PAUSE_GAP_S = 3, (2.1, 3.0)
-"""How many pauses follow each other, and from one's beginning to the next one's, in seconds: soon
-enough that the repeats which one has used up are missing in the next."""
+"""Number of pauses, and the time between the starts of two of them in seconds: too short for the
+retry budget to refill."""
 
-RATE_SEEDS, RATES = 0.6, (0.25, 1.0, 5.0)
-"""Share of all seeds in which some targets name a rate, and which, in requests a second."""
+ADVERTISE_SHARE, RATES_PER_S = 0.6, (0.25, 1.0, 5.0)
+"""Share of all seeds in which some targets advertise a rate, and the rates in requests per second.
+The share also holds for backoffs."""
 
-RESTS = (1.5, 3.0, 5.0)
-"""How long a rest some targets ask for, in as many seeds, in seconds."""
+BACKOFFS_S = (1.5, 3.0, 5.0)
+"""Backoffs that targets ask for, in seconds."""
 
-SAYS_FOR_S = (6.0, 14.0)
-"""How long they do, in seconds: a window of the promise, and the time until all boxes know."""
+ADVERTISED_FOR_S = (6.0, 14.0)
+"""How long a target advertises a limit, in seconds: enough for all boxes to learn it, plus one
+window in which the promise is checked."""
 
-UNTOLD_SEEDS, UNTOLD, UNTOLD_FOR_S = 0.5, 2, (4.0, 7.0)
-"""Share of the seeds with faults in which targets leave while the store is away, how many at the
-most, and for how many seconds it is: longer than boxes may go on sending there."""
+OUTAGE_LEAVE_SHARE, MAX_OUTAGE_LEAVES, LEAVE_OUTAGE_S = 0.5, 2, (4.0, 7.0)
+"""Share of the seeds with faults in which targets leave during a store outage, the maximum number
+of these targets, and the duration of the outage in seconds: longer than boxes may keep sending to
+them."""
 
-COPY_SEEDS, COPIES = 0.5, 2
-"""Share of all seeds in which the store comes back from a copy, and how often at the most."""
+RESTORE_SHARE, MAX_RESTORES = 0.5, 2
+"""Share of all seeds in which the store is restored from a copy, and the maximum number of
+restores."""
 
 COPY_AGE_S = (0.5, 5.0)
-"""How old the copy is, in seconds."""
+"""Age of the copy, in seconds."""
 
 STOP_GAP_S = (0.4, 2.0)
-"""From one planned stop of a series to the next, in seconds; a stop lasts longer."""
+"""Time between the planned stops of two boxes, in seconds; a stop lasts longer, so they overlap."""
 
-PAUSES_LAST_S = 8.0
-"""How long before the end of all faults the pauses begin, in seconds, where the time suffices."""
+PAUSES_LEAD_S = 8.0
+"""Time before the end of fault injection by which the pauses start, in seconds, if the run is long
+enough."""
 
 
-def make_plan(seed: int, length_s: float, shape: Shape) -> list[Planned]:
-    """Return the faults of a soak, in order of time.
+def make_plan(seed: int, length_s: float, size: FleetSize) -> list[PlannedFault]:
+    """Return the faults of a soak, ordered by time.
 
-    About a third of all seeds have planned work only, since some promises are only made for calm
-    times.
+    Some seeds have only planned work, since some promises hold only in the absence of faults.
     """
     rng = random.Random(seed)
-    calm = rng.random() < CALM_SHARE
+    planned_only = rng.random() < PLANNED_ONLY_SHARE
     plan = []
-    at_s = QUIET_S
+    at_s = WARMUP_S
     while at_s < length_s:
-        if not calm and rng.random() < KEY_IN_CUT_SHARE:
-            plan += _key_taken_in_a_cut(rng, shape, at_s)
-        fault = _planned_work(rng, shape) if calm else _any_fault(rng, shape)
-        plan += [Planned(at_s, fault)]
-        if rng.random() < TWICE_SHARE:
-            # Twice in a row, and overlapping.
-            plan += [Planned(at_s + rng.uniform(0.0, TWICE_WITHIN_S), fault)]
+        if not planned_only and rng.random() < REVOKE_IN_PARTITION_SHARE:
+            plan += _key_revoked_in_partition(rng, size, at_s)
+        fault = _planned_work(rng, size) if planned_only else _any_fault(rng, size)
+        plan += [PlannedFault(at_s, fault)]
+        if rng.random() < REPEAT_SHARE:
+            # The repetition overlaps with the first one.
+            plan += [PlannedFault(at_s + rng.uniform(0.0, REPEAT_WITHIN_S), fault)]
         at_s += rng.expovariate(1 / MEAN_GAP_S)
-    latest_s = length_s - LONGEST_CUT_S
-    if not calm and latest_s > QUIET_S and rng.random() < LONG_CUT_SEEDS:
-        plan += _key_taken_in_a_cut(rng, shape, rng.uniform(QUIET_S, latest_s))
-    # From numbers of their own: they change nothing of the rest of the plan.
-    plan += _pauses_in_planned_work(random.Random(f"pauses of {seed}"), shape, length_s)
+    latest_s = length_s - MAX_PARTITION_S
+    if not planned_only and latest_s > WARMUP_S and rng.random() < LONG_PARTITION_SHARE:
+        plan += _key_revoked_in_partition(rng, size, rng.uniform(WARMUP_S, latest_s))
+    # Separate generators, so that these parts don't change the rest of the plan.
+    plan += _pauses_in_planned_work(random.Random(f"pauses of {seed}"), size, length_s)
     rates, rests = random.Random(f"rates of {seed}"), random.Random(f"rests of {seed}")
-    half = max(1, shape.targets // 2)
-    plan += _said_by_targets(rates, shape, length_s, "rate_per_s", RATES, half)
-    # All of a service at times: what is kept by luck where another one is free shows there.
-    plan += _said_by_targets(rests, shape, length_s, "rest_s", RESTS, shape.targets - 1)
-    if not calm:
-        plan += _leave_untold(random.Random(f"untold of {seed}"), shape, length_s)
-    plan += _copies_of_the_store(random.Random(f"copies of {seed}"), length_s)
+    half = max(1, size.targets // 2)
+    plan += _advertised_by_targets(rates, size, length_s, "rate_per_s", RATES_PER_S, half)
+    # Sometimes all targets of a service ask for backoff, so that no other target takes the load.
+    plan += _advertised_by_targets(rests, size, length_s, "rest_s", BACKOFFS_S, size.targets - 1)
+    if not planned_only:
+        plan += _leaves_in_outage(random.Random(f"untold of {seed}"), size, length_s)
+    plan += _store_restores(random.Random(f"copies of {seed}"), length_s)
     return sorted(plan, key=lambda planned: planned.at_s)
 
 
-def _copies_of_the_store(rng: random.Random, length_s: float) -> list[Planned]:
-    """Return when the store comes back from a copy; a second time may follow at once."""
-    if rng.random() >= COPY_SEEDS:
+def _store_restores(rng: random.Random, length_s: float) -> list[PlannedFault]:
+    """Return restores of the store, which may follow each other closely."""
+    if rng.random() >= RESTORE_SHARE:
         return []
     return [
-        Planned(
-            rng.uniform(QUIET_S, max(QUIET_S, length_s)), StoreFromCopy(rng.uniform(*COPY_AGE_S))
+        PlannedFault(
+            rng.uniform(WARMUP_S, max(WARMUP_S, length_s)), StoreRestored(rng.uniform(*COPY_AGE_S))
         )
-        for _ in range(rng.randint(1, COPIES))
+        for _ in range(rng.randint(1, MAX_RESTORES))
     ]
 
 
-def _leave_untold(rng: random.Random, shape: Shape, length_s: float) -> list[Planned]:
-    """Return an outage of the store in which targets leave: only their answers say so."""
-    if rng.random() >= UNTOLD_SEEDS:
+def _leaves_in_outage(rng: random.Random, size: FleetSize, length_s: float) -> list[PlannedFault]:
+    """Return a store outage in which targets leave, so that only their responses announce it."""
+    if rng.random() >= OUTAGE_LEAVE_SHARE:
         return []
-    at_s = rng.uniform(QUIET_S, max(QUIET_S, length_s / 2))
-    leaving = rng.sample(range(shape.targets), rng.randint(1, min(UNTOLD, shape.targets)))
-    outage = Planned(at_s, StoreHarmed("outage", True, rng.uniform(*UNTOLD_FOR_S)))
-    return [outage, *(Planned(at_s + rng.uniform(0.1, 1.0), TargetLeaves(t)) for t in leaving)]
+    at_s = rng.uniform(WARMUP_S, max(WARMUP_S, length_s / 2))
+    leaving = rng.sample(range(size.targets), rng.randint(1, min(MAX_OUTAGE_LEAVES, size.targets)))
+    outage = PlannedFault(at_s, StoreFault("outage", True, rng.uniform(*LEAVE_OUTAGE_S)))
+    return [outage, *(PlannedFault(at_s + rng.uniform(0.1, 1.0), TargetLeaves(t)) for t in leaving)]
 
 
-def _said_by_targets(
+def _advertised_by_targets(
     rng: random.Random,
-    shape: Shape,
+    size: FleetSize,
     length_s: float,
     switch: str,
     values: Sequence[float],
     most: int,
-) -> list[Planned]:
-    """Return up to `most` targets that say something of themselves, each for a while."""
-    if rng.random() >= RATE_SEEDS:
+) -> list[PlannedFault]:
+    """Return advertised limits of up to `most` targets."""
+    if rng.random() >= ADVERTISE_SHARE:
         return []
-    named = rng.sample(range(shape.targets), rng.randint(1, most))
+    named = rng.sample(range(size.targets), rng.randint(1, most))
     return [
-        Planned(
+        PlannedFault(
             rng.uniform(0.5, max(0.5, length_s / 2)),
-            TargetSays(target, switch, rng.choice(values), rng.uniform(*SAYS_FOR_S)),
+            TargetAdvertises(target, switch, rng.choice(values), rng.uniform(*ADVERTISED_FOR_S)),
         )
         for target in named
     ]
 
 
-def _pauses_in_planned_work(rng: random.Random, shape: Shape, length_s: float) -> list[Planned]:
-    """Return pauses of all targets, amid stops of all boxes in turn and changes of all kinds."""
-    if rng.random() >= PAUSE_SEEDS:
+def _pauses_in_planned_work(
+    rng: random.Random, size: FleetSize, length_s: float
+) -> list[PlannedFault]:
+    """Return pauses of all targets during a rolling restart of all boxes with other changes."""
+    if rng.random() >= PAUSES_SHARE:
         return []
-    first_s = rng.uniform(QUIET_S, max(QUIET_S, length_s - PAUSES_LAST_S))
+    first_s = rng.uniform(WARMUP_S, max(WARMUP_S, length_s - PAUSES_LEAD_S))
     plan = []
     at_s = first_s
-    for box in rng.sample(range(shape.boxes), shape.boxes):
-        changed = SettingsChanged(rng.randrange(shape.boxes))
+    for box in rng.sample(range(size.boxes), size.boxes):
+        changed = SettingsChanged(rng.randrange(size.boxes))
         plan += [
-            Planned(at_s, BoxStopped(box)),
-            Planned(at_s + rng.uniform(*STOP_GAP_S), changed),
-            Planned(at_s + rng.uniform(*STOP_GAP_S), VersionPut()),
+            PlannedFault(at_s, BoxStopped(box)),
+            PlannedFault(at_s + rng.uniform(*STOP_GAP_S), changed),
+            PlannedFault(at_s + rng.uniform(*STOP_GAP_S), VersionWritten()),
         ]
         at_s += rng.uniform(*STOP_GAP_S)
     at_s = first_s + rng.uniform(0.0, 1.0)
     for _ in range(PAUSES):
-        plan += [Planned(at_s, TargetsPaused(rng.uniform(*PAUSED_S)))]
+        plan += [PlannedFault(at_s, TargetsPaused(rng.uniform(*PAUSED_S)))]
         at_s += rng.uniform(*PAUSE_GAP_S)
     return [planned for planned in plan if planned.at_s < length_s]
 
 
-def _key_taken_in_a_cut(rng: random.Random, shape: Shape, at_s: float) -> list[Planned]:
+def _key_revoked_in_partition(
+    rng: random.Random, size: FleetSize, at_s: float
+) -> list[PlannedFault]:
     mode = rng.choice([Silenced(), OneWay(True), OneWay(False), Resetting()])
-    cut = LinkHarmed(f"store {rng.randrange(shape.boxes)}", mode, rng.uniform(7.0, 9.0))
-    return [Planned(at_s, cut), Planned(at_s + 0.3, KeyTaken())]
+    partition = LinkFault(f"store {rng.randrange(size.boxes)}", mode, rng.uniform(7.0, 9.0))
+    return [PlannedFault(at_s, partition), PlannedFault(at_s + 0.3, KeyRevoked())]
 
 
-def _planned_work(rng: random.Random, shape: Shape) -> Fault:
-    box, target = rng.randrange(shape.boxes), rng.randrange(shape.targets)
-    faults = [BoxStopped(box), SettingsChanged(box), VersionPut(), TargetLeaves(target)]
+def _planned_work(rng: random.Random, size: FleetSize) -> Fault:
+    box, target = rng.randrange(size.boxes), rng.randrange(size.targets)
+    faults = [BoxStopped(box), SettingsChanged(box), VersionWritten(), TargetLeaves(target)]
     return rng.choices(faults, [3, 2, 3, 1])[0]
 
 
-def _any_fault(rng: random.Random, shape: Shape) -> Fault:
-    box, target = rng.randrange(shape.boxes), rng.randrange(shape.targets)
+def _any_fault(rng: random.Random, size: FleetSize) -> Fault:
+    box, target = rng.randrange(size.boxes), rng.randrange(size.targets)
     for_s = rng.uniform(0.2, 6.0)
     mode = rng.choice(
         [Delayed(rng.uniform(0.05, 0.8)), Silenced(), OneWay(True), OneWay(False), Resetting()]
@@ -355,17 +367,17 @@
     )
     failure = rng.choice(["lose_answers", "break_streams", "fail"])
     weighted: list[tuple[Fault, float]] = [
-        (_planned_work(rng, shape), 4),
+        (_planned_work(rng, size), 4),
         (BoxPaused(box, for_s), 2),
         (BoxKilled(box, for_s / 2), 1.5),
         (AllBoxesKilled(for_s / 3), 0.3),
-        (LinkHarmed(f"store {box}", mode, for_s), 2),
-        (LinkHarmed(f"target {target}", mode, for_s), 1.5),
-        (LinkHarmed(f"caller {box}", mode, for_s / 3), 0.7),
-        (StoreHarmed(switch, value, for_s), 1.5),
+        (LinkFault(f"store {box}", mode, for_s), 2),
+        (LinkFault(f"target {target}", mode, for_s), 1.5),
+        (LinkFault(f"caller {box}", mode, for_s / 3), 0.7),
+        (StoreFault(switch, value, for_s), 1.5),
         (TargetKilled(target, for_s / 2), 1),
         (TargetFails(target, failure, rng.randint(1, 5)), 3),
-        (KeyTaken(), 0.7),
+        (KeyRevoked(), 0.7),
     ]
     faults, weights = zip(*weighted, strict=True)
     return rng.choices(faults, weights)[0]
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: each is ended by its own id only."""
+"""The processes of a soak; signals are sent to their process ids only."""
 
 import random
 import signal
@@ -11,26 +11,26 @@
 __all__ = ["Process", "free_port"]
 
 PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-"""Where the system names the ports that it gives to outgoing connections."""
+"""File with the range of ports that the system assigns to outgoing connections."""
 
-LEAST_PORT = 15_000
-"""The least port that is used; usual services listen below."""
+MIN_PORT = 15_000
+"""Lowest port to use; common services listen below it."""
 
-_claims: list[socket.socket] = []
-"""What keeps the ports of this soak from others that are played on the machine; ends with it."""
+_port_locks: list[socket.socket] = []
+"""Sockets that reserve the ports of this soak against other soaks on the same machine."""
 
 
 class Process:
-    """A program of the project, started and restarted under one name.
+    """A program of the project that can be restarted.
 
     Parameters
     ----------
     name : str
-        Stands in the names of its logs.
+        Name of the process, used in the names of its output files.
     arguments : list of str
-        What follows ``python -m``.
+        Arguments of ``python -m``.
     directory : Path
-        Where its output is kept, one file a start.
+        Directory for the output files of each start.
     """
 
     def __init__(self, name: str, arguments: list[str], directory: Path):
@@ -38,12 +38,12 @@
         self._arguments = arguments
         self._directory = directory
         self._popen: subprocess.Popen[bytes] | None = None
-        self._over = False
+        self._ended = False
         self.starts_s: list[float] = []
 
     def start(self) -> None:
-        """Start it; its standard output is one file, its standard error another."""
-        if self._over:
+        """Start the process; standard output and standard error go to a file each."""
+        if self._ended:
             return
         stem = self._directory / f"{self.name}.{len(self.starts_s)}"
         self.starts_s.append(time.monotonic())
@@ -54,57 +54,58 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether it runs, or is paused."""
+        """Whether the process exists, running or paused."""
         return self._popen is not None and self._popen.poll() is None
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it lives."""
+        """Send a signal if the process is alive."""
         if self.is_alive:
             self._popen.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its exit."""
         self.send(signal.SIGKILL)
         if self._popen is not None:
             self._popen.wait()
 
     def end(self) -> None:
-        """End it at once and for good."""
-        self._over = True
+        """Kill the process and prevent further starts."""
+        self._ended = True
         self.kill()
 
     def outputs(self) -> list[Path]:
-        """Return the files of standard output, a start each."""
+        """Return the files with standard output, one for each start."""
         stems = [self._directory / f"{self.name}.{i}" for i in range(len(self.starts_s))]
         return [Path(f"{stem}.out") for stem in stems]
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """Return a port that is free now, and that neither the system nor another soak gives away.
+    """Return a free port that neither the system nor another soak assigns to anything else.
 
-    A box keeps its ports over restarts, so one that an outgoing connection may get won't do.
+    A box keeps its ports across restarts, so the port lies outside of the range that the system
+    uses for outgoing connections.
     """
     first_given = int(PORT_RANGE.read_text().split()[0])
     while True:
-        port = random.randrange(LEAST_PORT, first_given)
+        port = random.randrange(MIN_PORT, first_given)
         with socket.socket(socket.AF_INET, kind) as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 sock.bind(("127.0.0.1", port))
             except OSError:
                 continue
-        if _claim(port):
+        if _lock_port(port):
             return port
 
 
-def _claim(port: int) -> bool:
-    """Claim a port for as long as this process lives; False if it is claimed already."""
-    claim = socket.socket(socket.AF_UNIX)
+def _lock_port(port: int) -> bool:
+    """Reserve a port for the lifetime of this process; False if another soak has reserved it."""
+    lock = socket.socket(socket.AF_UNIX)
     try:
-        # A name without a file: the system frees it with the process.
-        claim.bind(f"\0gladedrum-soak-{port}")
+        # An abstract socket address: the system frees it when this process exits.
+        lock.bind(f"\0gladedrum-soak-{port}")
     except OSError:
-        claim.close()
+        lock.close()
         return False
-    _claims.append(claim)
+    _port_locks.append(lock)
     return True
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,7 +1,7 @@
-"""The promises, checked against what callers and targets have noted.
+"""The promises of the serving layer, checked against the records of a soak run.
 
-Each check returns its findings; promises with a bound in time are only checked where nothing that
-excuses them happened.
+Each check returns its violations. A promise with a time bound is checked only while no fault that
+suspends it is in progress or has just ended.
 """
 
 import bisect
@@ -15,53 +15,63 @@
 from gladedrum.standins.target import event_of, plain_answer_of
 
 from .boxes import CHANGE_BOUND_S, KEY_BOUND_S, LEAVE_BOUND_S
-from .history import STORE_RETURNED, TARGET_ENDED, Asked, Edited, Ending, History, Kind, TargetNote
+from .history import (
+    STORE_RESTORED,
+    TARGET_ENDED,
+    Edited,
+    Ending,
+    History,
+    Kind,
+    SentRequest,
+    TargetNote,
+)
 from .operator import TIME_LIMIT_S
 
 __all__ = ["PROMISES", "Violation", "check_all"]
 
-CONTACT_S = 3.5
-"""How long after trouble the promises with a bound in time are not checked, in seconds."""
+SETTLE_S = 3.5
+"""Time after a fault during which promises with a time bound are not checked, in seconds."""
 
 SLACK_S = 0.4
-"""What a busy machine may add to a bound, in seconds."""
+"""Tolerance of time bounds for a busy machine, in seconds."""
 
-REGRESS_SLACK_S = 0.25
-"""How long after a version was seen a request may still meet an older one, in seconds."""
+REVERT_SLACK_S = 0.25
+"""Time after a version was first used in which a request may still use an older one, in seconds."""
 
-RECOVERED_S = 12.0
-"""How long after the last fault the fleet must serve again, in seconds."""
+RECOVERY_BOUND_S = 12.0
+"""Time after the last fault within which the fleet must recover, in seconds."""
 
-ENDS_KNOWN, MOST_LATE = 3, 3
-"""A request that has ended so many targets is known, and is sent so often at most after that."""
+ENDS_UNTIL_REFUSED, MAX_LATE_ARRIVALS = 3, 3
+"""Number of target crashes after which a request must be refused, and the number of times that it
+may still arrive at targets after that."""
 
-HELD_S = 2.0
-"""After so long other boxes hold an edit of the table, too, in seconds."""
+REPLICATED_S = 2.0
+"""Time within which an accepted edit of the table reaches other boxes, in seconds."""
 
-OLDEST_COPY_S = 7.0
-"""What is older is in every copy from which the store comes back, in seconds."""
+MAX_COPY_AGE_S = 7.0
+"""Maximum age of a copy from which the store is restored, in seconds."""
 
 RATE_WINDOW_S, RATE_FACTOR, RATE_SLACK = 4.0, 1.5, 5
-"""In a window of so many seconds a target gets so many times the rate that it names, and so many
-requests more, at the most; from `CONTACT_S` after it first named one."""
+"""In each window of `RATE_WINDOW_S`, a target receives at most `RATE_FACTOR` times its advertised
+rate plus `RATE_SLACK` requests, starting `SETTLE_S` after it advertised the rate."""
 
-REST_FROM_S, MOST_IN_REST = 0.5, 2
-"""From so many seconds after a target has asked a box for rest until its end it gets so many
-requests from that box, at the most."""
+BACKOFF_FROM_S, MAX_IN_BACKOFF = 0.5, 2
+"""From `BACKOFF_FROM_S` after a target asked a box for backoff until the backoff ends, the target
+receives at most `MAX_IN_BACKOFF` requests from that box."""
 
-LEAST_SERVED = 0.75
-"""The least share of requests that is served then."""
+MIN_SERVED_SHARE = 0.75
+"""Minimum share of requests that must be served after recovery."""
 
-LEAST_JUDGED = 20
-"""With fewer requests than these nothing is said of that share."""
+MIN_JUDGED_REQUESTS = 20
+"""Minimum number of requests for which that share is checked."""
 
-CUT_SHARE = 0.7
-"""An answer that broke off later than this share of its caller's limit may have been ended by the
-limit, so it is not held against a planned stop."""
+JUDGED_LIMIT_SHARE = 0.7
+"""A response that was cut later than this share of its caller's time limit may have been cut by the
+limit, so it does not count against a planned stop."""
 
 
 class Violation(NamedTuple):
-    """A promise that was broken."""
+    """A violation of a promise, with its time by the monotonic clock in seconds."""
 
     promise: str
     at_s: float
@@ -69,29 +79,29 @@
 
 
 def check_all(history: History) -> list[Violation]:
-    """Check every promise."""
+    """Check every promise and return the violations by time."""
     return sorted(
         (found for check in PROMISES.values() for found in check(history)),
         key=lambda violation: violation.at_s,
     )
 
 
-def _only_asked_runs(history: History) -> list[Violation]:
-    asked = {row.request_id for row in history.asked}
+def _only_sent_requests_run(history: History) -> list[Violation]:
+    requests = {row.request_id for row in history.requests}
     return [
         Violation("only what was asked runs", note.at_s, f"{note.request_id!r} ran")
         for note in history.notes
-        if note.what in ("ran", "arrived") and note.request_id not in asked
+        if note.what in ("ran", "arrived") and note.request_id not in requests
     ]
 
 
 def _runs_once(history: History) -> list[Violation]:
-    asked = _asked_by_id(history)
+    requests = _requests_by_id(history)
     counts = Counter(note.request_id for note in history.ran())
     return [
-        Violation("runs once", asked[request_id].sent_s, f"{request_id} ran {count} times")
+        Violation("runs once", requests[request_id].sent_s, f"{request_id} ran {count} times")
         for request_id, count in counts.items()
-        if count > 1 and request_id in asked and asked[request_id].kind is Kind.ONCE
+        if count > 1 and request_id in requests and requests[request_id].kind is Kind.ONCE
     ]
 
 
@@ -99,7 +109,7 @@
     ran = {note.request_id for note in history.ran()}
     return [
         Violation("not run is true", row.sent_s, f"{row.request_id} got {row.status} and ran")
-        for row in history.asked
+        for row in history.requests
         if row.kind is Kind.ONCE and row.status in NOT_RUN_STATUSES and row.request_id in ran
     ]
 
@@ -107,12 +117,12 @@
 def _answers_are_whole(history: History) -> list[Violation]:
     return [
         Violation("own and whole answers", row.sent_s, f"{row.request_id}: {reason}")
-        for row in history.asked
-        if row.status == HTTPStatus.OK and (reason := _wrong_answer(row))
+        for row in history.requests
+        if row.status == HTTPStatus.OK and (reason := _answer_error(row))
     ]
 
 
-def _wrong_answer(row: Asked) -> str:
+def _answer_error(row: SentRequest) -> str:
     if row.answer_id != row.request_id:
         return f"the answer is one to {row.answer_id!r}"
     if row.kind in (Kind.STREAM, Kind.DEADLY):
@@ -127,11 +137,11 @@
 
 
 def _keys_end(history: History) -> list[Violation]:
-    asked = _asked_by_id(history)
+    requests = _requests_by_id(history)
     late = [
-        (asked[note.request_id], taken_s)
-        for note in _ran_of(history, asked)
-        if (taken_s := history.keys_taken.get(asked[note.request_id].key)) is not None
+        (requests[note.request_id], taken_s)
+        for note in _keyed_runs(history, requests)
+        if (taken_s := history.keys_revoked.get(requests[note.request_id].key)) is not None
     ]
     return [
         Violation("keys end", row.sent_s, f"{row.request_id} ran with a key that was taken away")
@@ -141,23 +151,23 @@
 
 
 def _leaving_gets_nothing(history: History) -> list[Violation]:
-    asked = _asked_by_id(history)
+    requests = _requests_by_id(history)
     left_s = {note.target: note.at_s for note in history.notes if note.what == "leaving"}
     return [
         Violation("a leaving target gets nothing", note.at_s, f"{note.request_id}: {note.target}")
         for note in history.notes
         if note.what == "arrived"
-        and note.request_id in asked
+        and note.request_id in requests
         and note.at_s > left_s.get(note.target, float("inf")) + LEAVE_BOUND_S + SLACK_S
-        and _is_calm(history, asked[note.request_id].box, left_s[note.target], note.at_s)
+        and _is_undisturbed(history, requests[note.request_id].box, left_s[note.target], note.at_s)
     ]
 
 
 def _no_version_reverts(history: History) -> list[Violation]:
-    asked = _asked_by_id(history)
+    requests = _requests_by_id(history)
     by_start: dict[tuple[int, int], list[tuple[float, float, int, str]]] = defaultdict(list)
-    for note in _ran_of(history, asked):
-        row = asked[note.request_id]
+    for note in _keyed_runs(history, requests):
+        row = requests[note.request_id]
         by_start[row.box, row.start].append(
             (note.at_s, row.sent_s, _version(note.organisation), row.request_id)
         )
@@ -165,7 +175,7 @@
     for runs in by_start.values():
         runs.sort()
         for at_s, sent_s, version, request_id in runs:
-            seen = [v for ran_s, _, v, _ in runs if ran_s < sent_s - REGRESS_SLACK_S]
+            seen = [v for ran_s, _, v, _ in runs if ran_s < sent_s - REVERT_SLACK_S]
             if seen and version < max(seen):
                 text = f"{request_id} met version {version} after {max(seen)}"
                 found.append(Violation("no version reverts", at_s, text))
@@ -173,14 +183,14 @@
 
 
 def _changes_are_in_force(history: History) -> list[Violation]:
-    asked = _asked_by_id(history)
+    requests = _requests_by_id(history)
     found = []
-    for note in _ran_of(history, asked):
-        row = asked[note.request_id]
+    for note in _keyed_runs(history, requests):
+        row = requests[note.request_id]
         due_s = row.sent_s - CHANGE_BOUND_S - SLACK_S
         due = [version for at_s, version in history.versions if at_s < due_s]
         version = _version(note.organisation)
-        if due and version < max(due) and _is_calm(history, row.box, due_s, note.at_s):
+        if due and version < max(due) and _is_undisturbed(history, row.box, due_s, note.at_s):
             text = f"{row.request_id} met version {version}, {max(due)} was due"
             found.append(Violation("changes are in force", note.at_s, text))
     return found
@@ -190,87 +200,88 @@
     ran = {note.request_id for note in history.ran()}
     return [
         Violation("a stop cuts nothing", row.sent_s, f"{row.request_id} was cut at box {row.box}")
-        for row in history.asked
+        for row in history.requests
         if row.ending is Ending.BROKEN
         and row.request_id in ran
-        and _is_calm(history, row.box, row.sent_s, row.ended_s)
-        and row.ended_s - row.sent_s < CUT_SHARE * row.limit_s
+        and _is_undisturbed(history, row.box, row.sent_s, row.ended_s)
+        and row.ended_s - row.sent_s < JUDGED_LIMIT_SHARE * row.limit_s
     ]
 
 
 def _live_streams_go_on(history: History) -> list[Violation]:
-    """A begun stream is not ended by a box while its target lives and goes on.
+    """A box does not end a begun stream while its target is alive and still writing.
 
-    The last target that ran it tells that the connection was closed while it had events to write,
-    and no target broke it. Silence is no excuse, nor is planned work, nor trouble with the store.
+    Violated if the last target that ran the stream recorded that the connection was closed before
+    its last event, and no target broke the stream itself. The promise also holds while targets
+    pause, during planned work and during store faults.
     """
     last_ran = {note.request_id: note.target for note in history.ran()}
-    closed = {(note.request_id, note.target) for note in _noted(history, "broken off")}
-    broke = {note.request_id for note in _noted(history, "broke")}
-    calm = dataclasses.replace(
-        history, happened=[row for row in history.happened if not row.what.startswith("store ")]
+    closed = {(note.request_id, note.target) for note in _notes_of(history, "broken off")}
+    broke = {note.request_id for note in _notes_of(history, "broke")}
+    without_store = dataclasses.replace(
+        history, incidents=[row for row in history.incidents if not row.what.startswith("store ")]
     )
     return [
         Violation("a live stream goes on", row.ended_s, f"{row.request_id} ended at box {row.box}")
-        for row in history.asked
+        for row in history.requests
         if row.ending is Ending.BROKEN
         and row.body
         and (row.request_id, last_ran.get(row.request_id)) in closed
         and row.request_id not in broke
         and row.ended_s - row.sent_s < min(row.limit_s, TIME_LIMIT_S)
-        and _is_calm(calm, row.box, row.sent_s, row.ended_s)
+        and _is_undisturbed(without_store, row.box, row.sent_s, row.ended_s)
     ]
 
 
-def _deadly_are_refused(history: History) -> list[Violation]:
-    """A request that has ended three targets reaches few more, of boxes that could know it."""
-    asked = _asked_by_id(history)
-    ends_s = sorted(note.at_s for note in _noted(history, TARGET_ENDED))
-    if len(ends_s) < ENDS_KNOWN:
+def _deadly_requests_are_refused(history: History) -> list[Violation]:
+    """Boxes that can know that a request crashed `ENDS_UNTIL_REFUSED` targets refuse it."""
+    requests = _requests_by_id(history)
+    ends_s = sorted(note.at_s for note in _notes_of(history, TARGET_ENDED))
+    if len(ends_s) < ENDS_UNTIL_REFUSED:
         return []
-    known_s = ends_s[ENDS_KNOWN - 1] + CONTACT_S
-    trouble = [row for row in history.happened if row.what != TARGET_ENDED]
-    others = dataclasses.replace(history, happened=trouble)
+    known_s = ends_s[ENDS_UNTIL_REFUSED - 1] + SETTLE_S
+    faults = [row for row in history.incidents if row.what != TARGET_ENDED]
+    others = dataclasses.replace(history, incidents=faults)
     late = [
         note
-        for note in _noted(history, "arrived")
+        for note in _notes_of(history, "arrived")
         if note.at_s > known_s
-        and (row := asked.get(note.request_id)) is not None
+        and (row := requests.get(note.request_id)) is not None
         and row.kind is Kind.DEADLY
-        and _is_calm(others, row.box, row.sent_s, note.at_s)
+        and _is_undisturbed(others, row.box, row.sent_s, note.at_s)
     ]
-    if len(late) <= MOST_LATE:
+    if len(late) <= MAX_LATE_ARRIVALS:
         return []
     text = f"sent {len(late)} times more, {len(ends_s)} ends in all"
-    return [Violation("what ends targets is refused", late[MOST_LATE].at_s, text)]
+    return [Violation("what ends targets is refused", late[MAX_LATE_ARRIVALS].at_s, text)]
 
 
 def _rates_are_kept(history: History) -> list[Violation]:
-    """A target that names a rate gets no more from all boxes, reports and orders counted."""
+    """All boxes together keep to a target's advertised rate; reports and orders count as well."""
     found = []
-    for target, from_s, to_s, per_s in _rates_named(history):
-        came_s = [
+    for target, from_s, to_s, per_s in _advertised_rates(history):
+        arrived_s = [
             note.at_s
             for note in history.notes
             if note.target == target
             and note.what in ("arrived", "reported", "ordered")
-            and from_s + CONTACT_S <= note.at_s <= to_s
+            and from_s + SETTLE_S <= note.at_s <= to_s
         ]
         allowed = RATE_FACTOR * per_s * RATE_WINDOW_S + RATE_SLACK
-        for index, first_s in enumerate(came_s):
+        for index, first_s in enumerate(arrived_s):
             end_s = first_s + RATE_WINDOW_S
-            count = bisect.bisect_left(came_s, end_s) - index
-            if count > allowed and _is_calm(history, None, first_s, end_s):
+            count = bisect.bisect_left(arrived_s, end_s) - index
+            if count > allowed and _is_undisturbed(history, None, first_s, end_s):
                 text = f"{target} got {count} in {RATE_WINDOW_S} s at {per_s} a second"
                 found.append(Violation("named rates are kept", first_s, text))
                 break
     return found
 
 
-def _rates_named(history: History) -> Iterable[tuple[str, float, float, float]]:
-    """Return which target named a rate from when until when, and which."""
+def _advertised_rates(history: History) -> Iterable[tuple[str, float, float, float]]:
+    """Iterate over advertised rates: target, start and end in seconds, requests per second."""
     named: dict[str, TargetNote] = {}
-    for note in _noted(history, "switched"):
+    for note in _notes_of(history, "switched"):
         before = named.pop(note.target, None)
         if before is not None:
             yield note.target, before.at_s, note.at_s, before.rate_per_s
@@ -280,133 +291,137 @@
         yield target, before.at_s, history.ended_s, before.rate_per_s
 
 
-def _told_leaving_is_heeded(history: History) -> list[Violation]:
-    """A box that has passed on an answer by which its target leaves sends nothing there later.
+def _announced_leaving_is_respected(history: History) -> list[Violation]:
+    """A box that forwarded a target's announcement to leave sends no more requests there.
 
-    Trouble excuses nothing but a pause of the box, and another start of it.
+    Only a pause or a restart of the box suspends this promise.
     """
-    asked = _asked_by_id(history)
-    told_s: dict[tuple[int, int, str], float] = {}
-    for note in _noted(history, "told leaving"):
-        row = asked.get(note.request_id)
+    requests = _requests_by_id(history)
+    announced_s: dict[tuple[int, int, str], float] = {}
+    for note in _notes_of(history, "told leaving"):
+        row = requests.get(note.request_id)
         if row is not None and row.ending is Ending.WHOLE:
             key = (row.box, row.start, note.target)
-            told_s[key] = min(row.ended_s, told_s.get(key, row.ended_s))
+            announced_s[key] = min(row.ended_s, announced_s.get(key, row.ended_s))
     return [
         Violation("told leaving is heeded", note.at_s, f"{note.request_id}: {note.target}")
-        for note in _noted(history, "arrived")
-        if (row := asked.get(note.request_id)) is not None
-        and (at_s := told_s.get((row.box, row.start, note.target))) is not None
+        for note in _notes_of(history, "arrived")
+        if (row := requests.get(note.request_id)) is not None
+        and (at_s := announced_s.get((row.box, row.start, note.target))) is not None
         and row.sent_s > at_s + LEAVE_BOUND_S + SLACK_S
         and not _was_paused(history, row.box, at_s, note.at_s)
     ]
 
 
-def _rest_is_kept(history: History) -> list[Violation]:
-    """A target that has asked a box for rest gets next to nothing from that start of it."""
-    asked = _asked_by_id(history)
-    came_s: dict[tuple[int, int, str], list[float]] = defaultdict(list)
-    for note in _noted(history, "arrived"):
-        if (row := asked.get(note.request_id)) is not None:
-            came_s[row.box, row.start, note.target].append(note.at_s)
+def _backoff_is_kept(history: History) -> list[Violation]:
+    """A box honors the backoff that a target asks for; a restarted box may have forgotten it."""
+    requests = _requests_by_id(history)
+    arrived_s: dict[tuple[int, int, str], list[float]] = defaultdict(list)
+    for note in _notes_of(history, "arrived"):
+        if (row := requests.get(note.request_id)) is not None:
+            arrived_s[row.box, row.start, note.target].append(note.at_s)
     found = []
-    for note in _noted(history, "wants rest"):
-        row = asked.get(note.request_id)
-        if row is None or not _is_calm(history, row.box, note.at_s, note.at_s + note.rest_s):
+    for note in _notes_of(history, "wants rest"):
+        row = requests.get(note.request_id)
+        if row is None or not _is_undisturbed(history, row.box, note.at_s, note.at_s + note.rest_s):
             continue
-        from_s, to_s = note.at_s + REST_FROM_S + SLACK_S, note.at_s + note.rest_s
-        count = sum(from_s <= at_s < to_s for at_s in came_s[row.box, row.start, note.target])
-        if count > MOST_IN_REST:
+        from_s, to_s = note.at_s + BACKOFF_FROM_S + SLACK_S, note.at_s + note.rest_s
+        count = sum(from_s <= at_s < to_s for at_s in arrived_s[row.box, row.start, note.target])
+        if count > MAX_IN_BACKOFF:
             text = f"{note.target} got {count} from box {row.box} in {note.rest_s} s"
             found.append(Violation("rest is kept", note.at_s, text))
     return found
 
 
 def _edits_stay(history: History) -> list[Violation]:
-    """An accepted edit of the table is there at the end, at every box that shows the table.
+    """At the end, every box that reports the table has every accepted edit.
 
-    Its box holds it, and the others within seconds; while all are lost only the store has it.
+    The box that accepted an edit holds it, and the others get it within `REPLICATED_S`. While all
+    of these boxes are down, only the store has it.
     """
     return [
         Violation("accepted edits stay", edit.at_s, f"{edit.row} is not shown by box {box}")
         for edit in history.edited
-        for box, rows in history.rows_left.items()
-        if edit.row not in rows and not _is_lost_with_all(history, edit)
+        for box, rows in history.final_rows.items()
+        if edit.row not in rows and not _may_be_lost_everywhere(history, edit)
     ]
 
 
-def _is_lost_with_all(history: History, edit: Edited) -> bool:
-    """Whether all that held an edit may have been lost before the store came back from a copy."""
-    returned_s = [
+def _may_be_lost_everywhere(history: History, edit: Edited) -> bool:
+    """Whether an edit may have been lost on all boxes and by a restore of the store."""
+    restored_s = [
         row.to_s
-        for row in history.happened
-        if row.what == STORE_RETURNED and row.to_s - OLDEST_COPY_S < edit.at_s < row.to_s
+        for row in history.incidents
+        if row.what == STORE_RESTORED and row.to_s - MAX_COPY_AGE_S < edit.at_s < row.to_s
     ]
     return any(
         row.to_s > edit.at_s
-        and row.from_s < at_s + HELD_S
-        and (row.what == "all killed" or (row.box == edit.box and row.from_s < edit.at_s + HELD_S))
-        for at_s in returned_s
-        for row in history.happened
+        and row.from_s < at_s + REPLICATED_S
+        and (
+            row.what == "all killed"
+            or (row.box == edit.box and row.from_s < edit.at_s + REPLICATED_S)
+        )
+        for at_s in restored_s
+        for row in history.incidents
     )
 
 
 def _all_are_answered(history: History) -> list[Violation]:
     return [
         Violation("all are answered in time", row.sent_s, f"{row.request_id} got no answer")
-        for row in history.asked
+        for row in history.requests
         if row.ending is Ending.OPEN
         and row.ended_s > 0
-        and _is_calm(history, row.box, row.sent_s, row.ended_s)
+        and _is_undisturbed(history, row.box, row.sent_s, row.ended_s)
     ]
 
 
-def _memory_is_free(history: History) -> list[Violation]:
+def _memory_is_freed(history: History) -> list[Violation]:
     return [
         Violation("memory is freed", history.ended_s, f"{target} still holds {tokens} tokens")
-        for target, tokens in history.memory_left.items()
+        for target, tokens in history.final_reserved_tokens.items()
         if tokens
     ]
 
 
-def _faults_are_played(history: History) -> list[Violation]:
-    return [Violation("faults are played", 0.0, text) for text in history.not_played]
+def _faults_are_injected(history: History) -> list[Violation]:
+    return [Violation("faults are played", 0.0, text) for text in history.not_injected]
 
 
 def _fleet_recovers(history: History) -> list[Violation]:
-    last_s = max((row.to_s for row in history.happened if row.to_s < history.ended_s), default=0)
+    last_s = max((row.to_s for row in history.incidents if row.to_s < history.ended_s), default=0)
     rows = [
         row
-        for row in history.asked
-        if row.sent_s > last_s + RECOVERED_S
-        and row.key not in history.keys_taken
+        for row in history.requests
+        if row.sent_s > last_s + RECOVERY_BOUND_S
+        and row.key not in history.keys_revoked
         and row.kind is not Kind.DEADLY
     ]
     served = sum(row.status == HTTPStatus.OK and row.ending is Ending.WHOLE for row in rows)
-    if len(rows) < LEAST_JUDGED or served >= LEAST_SERVED * len(rows):
+    if len(rows) < MIN_JUDGED_REQUESTS or served >= MIN_SERVED_SHARE * len(rows):
         return []
     return [Violation("the fleet recovers", last_s, f"{served} of {len(rows)} served at the end")]
 
 
-def _asked_by_id(history: History) -> dict[str, Asked]:
-    return {row.request_id: row for row in history.asked}
+def _requests_by_id(history: History) -> dict[str, SentRequest]:
+    return {row.request_id: row for row in history.requests}
 
 
-def _ran_of(history: History, asked: dict[str, Asked]) -> list[TargetNote]:
-    """Return the runs of what was asked with a key; its owner's name tells the version."""
+def _keyed_runs(history: History, requests: dict[str, SentRequest]) -> list[TargetNote]:
+    """Return the runs of requests with an API key; their organisation's name holds the version."""
     return [
         note
         for note in history.ran()
-        if (row := asked.get(note.request_id)) is not None and row.kind is not Kind.DEADLY
+        if (row := requests.get(note.request_id)) is not None and row.kind is not Kind.DEADLY
     ]
 
 
-def _noted(history: History, what: str) -> Iterable[TargetNote]:
+def _notes_of(history: History, what: str) -> Iterable[TargetNote]:
     return (note for note in history.notes if note.what == what)
 
 
 PROMISES: dict[str, Callable[[History], list[Violation]]] = {
-    "only what was asked runs": _only_asked_runs,
+    "only what was asked runs": _only_sent_requests_run,
     "runs once": _runs_once,
     "not run is true": _not_run_is_true,
     "own and whole answers": _answers_are_whole,
@@ -416,15 +431,15 @@
     "changes are in force": _changes_are_in_force,
     "a stop cuts nothing": _stops_cut_nothing,
     "a live stream goes on": _live_streams_go_on,
-    "what ends targets is refused": _deadly_are_refused,
+    "what ends targets is refused": _deadly_requests_are_refused,
     "named rates are kept": _rates_are_kept,
-    "told leaving is heeded": _told_leaving_is_heeded,
-    "rest is kept": _rest_is_kept,
+    "told leaving is heeded": _announced_leaving_is_respected,
+    "rest is kept": _backoff_is_kept,
     "accepted edits stay": _edits_stay,
     "all are answered in time": _all_are_answered,
-    "memory is freed": _memory_is_free,
+    "memory is freed": _memory_is_freed,
     "the fleet recovers": _fleet_recovers,
-    "faults are played": _faults_are_played,
+    "faults are played": _faults_are_injected,
 }
 
 
@@ -432,16 +447,17 @@
     return int(organisation.rpartition("-")[2] or 0)
 
 
-def _is_calm(history: History, box: int | None, from_s: float, to_s: float) -> bool:
-    """Whether nothing unplanned happened to a box, or to all, from before `from_s` until `to_s`.
+def _is_undisturbed(history: History, box: int | None, from_s: float, to_s: float) -> bool:
+    """Whether no fault affected a box between `SETTLE_S` before `from_s` and `to_s`.
 
-    `box` is None if trouble of any box counts.
+    Faults that affect several boxes count for each of them. `box` is None if faults of any box
+    count.
     """
     return not any(
         (box is None or row.box in (box, None))
         and row.from_s < to_s
-        and row.to_s > from_s - CONTACT_S
-        for row in history.happened
+        and row.to_s > from_s - SETTLE_S
+        for row in history.incidents
         if not row.planned
     )
 
@@ -449,5 +465,5 @@
 def _was_paused(history: History, box: int, from_s: float, to_s: float) -> bool:
     return any(
         row.what == "paused" and row.box == box and row.from_s < to_s and row.to_s > from_s
-        for row in history.happened
+        for row in history.incidents
     )
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy of one link, which can be harmed while connections are open."""
+"""A loopback TCP proxy for one link that injects network faults into open connections."""
 
 from dataclasses import dataclass
 
@@ -12,43 +12,43 @@
 
 @dataclass(frozen=True)
 class Passing:
-    """All bytes pass at once."""
+    """All bytes pass without delay."""
 
 
 @dataclass(frozen=True)
 class Delayed:
-    """All bytes pass `by_s` seconds later."""
+    """All bytes pass with a delay of `by_s` seconds."""
 
     by_s: float
 
 
 @dataclass(frozen=True)
 class Silenced:
-    """Nothing passes; what is sent meanwhile comes when the link is sound again."""
+    """No bytes pass; they are held back until the mode changes."""
 
 
 @dataclass(frozen=True)
 class OneWay:
-    """As `Silenced`, but only towards the caller of the link, or only towards the server."""
+    """As `Silenced`, but in one direction: towards the connecting side or towards the server."""
 
     to_caller: bool
 
 
 @dataclass(frozen=True)
 class Resetting:
-    """Open connections are reset, and so is each new one."""
+    """Open and new connections are reset."""
 
 
 LinkMode = Passing | Delayed | Silenced | OneWay | Resetting
 
 
 class LinkProxy(protocol.Factory):
-    """Passes connections on to one server.
+    """Forwards connections to one server and applies the current `mode` to them.
 
     Parameters
     ----------
     server_port : int
-        Where the server listens on this machine.
+        Port of the server on this machine.
     """
 
     noisy = False
@@ -61,11 +61,11 @@
 
     @property
     def port(self) -> int:
-        """Where the proxy listens."""
+        """Port on which the proxy listens."""
         return self._listening.getHost().port
 
     def buildProtocol(self, _addr) -> "_Side":
-        """Take a connection and open the one to the server."""
+        """Accept a connection and open its counterpart to the server."""
         caller = _Side(self, to_caller=True)
         server = _Side(self, to_caller=False)
         caller.other, server.other = server, caller
@@ -74,7 +74,7 @@
         return caller
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Harm the link, or make it sound; what was held back comes then."""
+        """Change the mode, also for open connections; bytes that it no longer blocks are sent."""
         self.mode = mode
         for side in tuple(self._sides):
             match mode:
@@ -84,11 +84,11 @@
                     side.flush()
 
     def add(self, side: "_Side") -> None:
-        """Note an open connection."""
+        """Register an open connection."""
         self._sides.add(side)
 
     def discard(self, side: "_Side") -> None:
-        """Note a closed connection."""
+        """Unregister a closed connection."""
         self._sides.discard(side)
 
     def close(self):
@@ -99,7 +99,7 @@
 
 
 class _Side(protocol.Protocol):
-    """One of the two connections of a proxied one; holds what is to be written to it."""
+    """One of the two connections of a proxied connection, with the bytes to be written to it."""
 
     def __init__(self, link: LinkProxy, to_caller: bool):
         self._link = link
@@ -125,23 +125,23 @@
         self.other.pass_end()
 
     def pass_on(self, data: bytes) -> None:
-        """Write bytes of the other side, as the link's mode has it; no bytes are its end."""
+        """Write or hold back bytes of the other side by the link's mode; ``b""`` is its end."""
         by_s = self._link.mode.by_s if isinstance(self._link.mode, Delayed) else 0.0
         if not by_s and not self._delayed:
             self._hold(data)
             return
-        # Never before what came earlier, also when the delay has ended meanwhile.
+        # Keep the order of bytes, also if the delay has ended meanwhile.
         earliest_s = self._delayed[-1][0] if self._delayed else 0.0
         due_s = max(earliest_s, reactor.seconds() + by_s)
         self._delayed.append((due_s, data))
         reactor.callLater(due_s - reactor.seconds(), self._hold_next)
 
     def pass_end(self) -> None:
-        """The other side is closed; so is this one, after what is held."""
+        """Close this side after its pending bytes, since the other side is closed."""
         self.pass_on(b"")
 
     def flush(self) -> None:
-        """Write what is held, if the link lets it pass."""
+        """Write the bytes held back unless the link's mode blocks them."""
         if self._is_blocked() or self.transport is None or not self.transport.connected:
             return
         held, self._held = self._held, []
@@ -151,7 +151,7 @@
             self.transport.loseConnection()
 
     def reset(self) -> None:
-        """Reset this connection; the other one follows."""
+        """Reset this connection, which closes the other one."""
         self._held = []
         if self.transport is not None and self.transport.connected:
             self.transport.abortConnection()
@@ -177,7 +177,7 @@
 
 
 class _ServerFactory(protocol.ClientFactory):
-    """Makes the one connection to the server."""
+    """Creates the connection to the server."""
 
     noisy = False
 
--- a/soak/regressions.py
+++ b/soak/regressions.py
@@ -1,17 +1,17 @@
-"""Seeds that failed once, each with its cause; ``python -m soak --regressions`` plays them.
+"""Seeds that once failed, each with its cause; ``python -m soak --regressions`` runs them.
 
-A plan is drawn anew from its seed, so a change of `plan` changes what a seed plays; what each has
-found is held by a test as well.
+A plan is generated from its seed, so a change in `plan` changes the faults of a seed. Therefore
+each failure is also covered by a test.
 """
 
 __all__ = ["REGRESSIONS"]
 
 REGRESSIONS: dict[int, str] = {
-    2: "a kept connection answered nothing after a refused key (forward/tests/test_life.py)",
-    4: "begun streams were given up in a pause of all targets, for repeats that were used up",
+    2: "no response on a kept-alive connection after a refused key (forward/tests/test_life.py)",
+    4: "begun streams were given up in a pause of all targets: the retry budget was used up",
     101: "the proxy let bytes overtake delayed ones (soak/tests/test_proxy.py)",
-    1042: "most prompts were longer than the few engines could hold at once: the soak's own mix",
-    3001: "a port chosen by the system went to an outgoing connection: the soak's own",
-    3011: "two of the operator's writes overtook each other in the store: the soak's own",
+    1042: "fault in the soak: most prompts were longer than its few engines could hold at once",
+    3001: "fault in the soak: a port chosen by the system went to an outgoing connection",
+    3011: "fault in the soak: two writes of the operator were reordered in the store",
 }
-"""Seed to cause, in a line."""
+"""Cause of the failure by seed."""
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -1,4 +1,4 @@
-"""A target of a soak: the stand-in's process, its link and its switches."""
+"""A target of a soak: the process of the stand-in, its link and its fault switches."""
 
 import json
 import time
@@ -14,14 +14,14 @@
 __all__ = ["ENGINE", "SoakTarget"]
 
 ENGINE = EngineTraits(slots=8, memory_tokens=232_000)
-"""What each model engine is, as the operator tells it."""
+"""Traits of each model engine in the configuration."""
 
 SERVE_ON_S = 6.0
-"""How long a leaving target serves on, in seconds: what begins within the bound on leaving, the
-longest stream, and a pause amid it."""
+"""How long a leaving target keeps serving, in seconds: the bound on leaving, then the longest
+stream with a pause in it."""
 
 ANSWER_S = 2.0
-"""How long a target may take to answer the soak itself, in seconds."""
+"""Timeout of the soak's own calls to a target, in seconds."""
 
 
 class SoakTarget:
@@ -30,18 +30,18 @@
     Parameters
     ----------
     index : int
-        Its number, from 0.
+        Index of the target, from 0.
     directory : Path
-        Where its outputs go.
+        Directory for its output files.
     store_port : int
-        The port of the store.
+        Port of the store.
     service : str
-        The service that it belongs to.
+        Service that it belongs to.
 
     Attributes
     ----------
     may_start_s : float
-        Before this time, by the monotonic clock in seconds, it is not started again.
+        Earliest time of its next start, in seconds of the monotonic clock.
     """
 
     def __init__(self, index: int, directory: Path, store_port: int, service: str):
@@ -57,20 +57,20 @@
         self.may_start_s = 0.0
 
     def kill(self, away_s: float) -> None:
-        """Kill it; it is not started again for `away_s` seconds."""
+        """Kill the process; it is not restarted for `away_s` seconds."""
         self.may_start_s = time.monotonic() + away_s
         self.process.kill()
 
     async def set_switches(self, web: WebClient, switches: dict[str, object]) -> None:
-        """Set failure switches; a target that is being restarted is passed over."""
+        """Set fault switches; no effect on a target that is restarting."""
         url = f"http://{LOOPBACK}:{self.port}/switches"
         try:
             await web.call_json("POST", url, switches, ANSWER_S)
-        except Exception as exc:  # the target is being restarted: the fault does not strike
+        except Exception as exc:  # the target is restarting
             print(json.dumps({"what": "switch not set", "reason": repr(exc)}))
 
     async def reserved_tokens(self, web: WebClient) -> int | None:
-        """Return how much memory is still set aside on it, in tokens; None while it restarts."""
+        """Return the memory reserved on the target, in tokens; None while it restarts."""
         url = f"http://{LOOPBACK}:{self.port}/api/report"
         try:
             reply = await web.call_json("GET", url, None, ANSWER_S)
--- a/soak/tests/test_promises.py
+++ b/soak/tests/test_promises.py
@@ -1,19 +1,19 @@
-"""Each promise's check finds what breaks it, and nothing else."""
+"""The check of each promise reports a violation of it, and no check reports a false one."""
 
 import dataclasses
 
 import pytest
 
 from gladedrum.standins.target import event_of, plain_answer_of
-from soak.history import Asked, Edited, Ending, Happened, History, Kind, TargetNote
-from soak.plan import Shape, make_plan
+from soak.history import Edited, Ending, History, Incident, Kind, SentRequest, TargetNote
+from soak.plan import FleetSize, make_plan
 from soak.promises import PROMISES, check_all
 
 
-def asked(request_id="r1", kind=Kind.ONCE, sent_s=100.0, **fields):
+def sent_request(request_id="r1", kind=Kind.ONCE, sent_s=100.0, **fields):
     events = 3 if kind is Kind.STREAM else 0
     whole = b"".join(event_of(request_id, n) for n in (1, 2, 3))
-    row = Asked(
+    row = SentRequest(
         request_id=request_id, box=0, start=1, kind=kind, key="k1", events=events, limit_s=3.0,
         sent_s=sent_s, status=200, answer_id=request_id,
         body=whole if events else plain_answer_of(request_id), ending=Ending.WHOLE,
@@ -30,51 +30,54 @@
     return TargetNote(at_s, target, "leaving", "", "")
 
 
-SOUND = History(
-    asked=[asked(), asked("r2", Kind.STREAM), asked("r3", Kind.REPEATABLE)],
+VALID = History(
+    requests=[sent_request(), sent_request("r2", Kind.STREAM), sent_request("r3", Kind.REPEATABLE)],
     notes=[ran(), ran("r2"), ran("r3"), ran("r3", target="t2"), ran("r2", target="t2")],
     versions=[(50.0, 1)],
-    memory_left={"t1": 0},
+    final_reserved_tokens={"t1": 0},
     ended_s=200.0,
 )
 
 
 def changed(**fields):
-    return dataclasses.replace(SOUND, **fields)
+    return dataclasses.replace(VALID, **fields)
 
 
-BROKEN = {
+VIOLATIONS = {
     "only what was asked runs": changed(notes=[ran("r9")]),
     "runs once": changed(notes=[ran(), ran(target="t2")]),
-    "not run is true": changed(asked=[asked(status=503, body=b"")], notes=[ran()]),
+    "not run is true": changed(requests=[sent_request(status=503, body=b"")], notes=[ran()]),
     "own and whole answers": changed(
-        asked=[asked(kind=Kind.STREAM, body=event_of("r1", 1) + event_of("r1", 3))], notes=[]
+        requests=[sent_request(kind=Kind.STREAM, body=event_of("r1", 1) + event_of("r1", 3))],
+        notes=[],
     ),
-    "keys end": changed(asked=[asked()], notes=[ran()], keys_taken={"k1": 94.0}),
+    "keys end": changed(requests=[sent_request()], notes=[ran()], keys_revoked={"k1": 94.0}),
     "accepted edits stay": changed(
-        edited=[Edited(100.0, 0, "organisation:edit-1")], rows_left={0: {"organisation:edit-2"}}
+        edited=[Edited(100.0, 0, "organisation:edit-1")], final_rows={0: {"organisation:edit-2"}}
     ),
     "named rates are kept": changed(
-        asked=[asked(f"n{n}", sent_s=104.0) for n in range(12)],
+        requests=[sent_request(f"n{n}", sent_s=104.0) for n in range(12)],
         notes=[
             TargetNote(100.0, "t1", "switched", "", "", 1.0),
             *(ran(f"n{n}", 104.0 + 0.1 * n, what="arrived") for n in range(12)),
         ],
     ),
     "told leaving is heeded": changed(
-        asked=[asked(), asked("r2", sent_s=103.0)],
+        requests=[sent_request(), sent_request("r2", sent_s=103.0)],
         notes=[ran(), ran(what="told leaving"), ran("r2", 103.0, what="arrived")],
-        happened=[Happened(99.0, 110.0, "store outage", None, planned=False)],
+        incidents=[Incident(99.0, 110.0, "store outage", None, planned=False)],
     ),
     "rest is kept": changed(
-        asked=[asked(), *(asked(f"n{n}", sent_s=101.0 + n / 2) for n in range(3))],
+        requests=[sent_request(), *(sent_request(f"n{n}", sent_s=101.0 + n / 2) for n in range(3))],
         notes=[
             TargetNote(100.0, "t1", "wants rest", "r1", "", rest_s=3.0),
             *(ran(f"n{n}", 101.0 + n / 2, what="arrived") for n in range(3)),
         ],
     ),
     "what ends targets is refused": changed(
-        asked=[asked(f"d{n}", Kind.DEADLY, status=502, sent_s=100.0 + n) for n in range(12)],
+        requests=[
+            sent_request(f"d{n}", Kind.DEADLY, status=502, sent_s=100.0 + n) for n in range(12)
+        ],
         notes=[
             *(ran(f"d{n}", 100.0 + n, what="arrived") for n in range(12)),
             *(ran(f"d{n}", 100.1 + n, what="ended by") for n in range(12)),
@@ -84,7 +87,7 @@
         notes=[left("t1", 97.0), ran(what="arrived", at_s=100.0)]
     ),
     "no version reverts": changed(
-        asked=[asked(), asked("r2", sent_s=101.0)],
+        requests=[sent_request(), sent_request("r2", sent_s=101.0)],
         notes=[ran(version=4), ran("r2", at_s=101.0, version=3)],
         versions=[],
     ),
@@ -93,39 +96,39 @@
         versions=[(50.0, 1), (97.0, 2)],
     ),
     "a stop cuts nothing": changed(
-        asked=[asked(status=None, body=b"", ending=Ending.BROKEN)],
+        requests=[sent_request(status=None, body=b"", ending=Ending.BROKEN)],
         notes=[ran()],
-        happened=[Happened(99.0, 104.0, "stopped", 0, planned=True)],
+        incidents=[Incident(99.0, 104.0, "stopped", 0, planned=True)],
     ),
     "a live stream goes on": changed(
-        asked=[asked(kind=Kind.STREAM, body=event_of("r1", 1), ending=Ending.BROKEN)],
+        requests=[sent_request(kind=Kind.STREAM, body=event_of("r1", 1), ending=Ending.BROKEN)],
         notes=[ran(), ran(what="broken off", at_s=101.0)],
-        happened=[
-            Happened(99.0, 101.0, "targets paused", None, planned=True),
-            Happened(99.0, 104.0, "stopped", 0, planned=True),
-            Happened(99.0, 104.0, "store outage", None, planned=False),
+        incidents=[
+            Incident(99.0, 101.0, "targets paused", None, planned=True),
+            Incident(99.0, 104.0, "stopped", 0, planned=True),
+            Incident(99.0, 104.0, "store outage", None, planned=False),
         ],
     ),
     "all are answered in time": changed(
-        asked=[asked(status=None, body=b"", ending=Ending.OPEN, ended_s=106.0)], notes=[]
+        requests=[sent_request(status=None, body=b"", ending=Ending.OPEN, ended_s=106.0)], notes=[]
     ),
-    "faults are played": changed(not_played=["StoreHarmed: no answer"]),
-    "memory is freed": changed(memory_left={"t1": 5000}),
+    "faults are played": changed(not_injected=["StoreFault: no answer"]),
+    "memory is freed": changed(final_reserved_tokens={"t1": 5000}),
     "the fleet recovers": changed(
-        asked=[asked(f"r{i}", status=503, body=b"", sent_s=150.0 + i) for i in range(30)],
+        requests=[sent_request(f"r{i}", status=503, body=b"", sent_s=150.0 + i) for i in range(30)],
         notes=[],
-        happened=[Happened(100.0, 101.0, "all killed", None, planned=False)],
+        incidents=[Incident(100.0, 101.0, "all killed", None, planned=False)],
     ),
 }
 
 
-def test_a_sound_history_has_no_violation():
-    assert check_all(SOUND) == []
+def test_a_valid_history_has_no_violation():
+    assert check_all(VALID) == []
 
 
 @pytest.mark.parametrize("promise", PROMISES)
-def test_what_breaks_a_promise_is_found(promise):
-    assert [violation.promise for violation in check_all(BROKEN[promise])] == [promise]
+def test_a_violation_is_reported_for_its_promise_only(promise):
+    assert [violation.promise for violation in check_all(VIOLATIONS[promise])] == [promise]
 
 
 @pytest.mark.parametrize(
@@ -137,15 +140,15 @@
         "a live stream goes on",
     ],
 )
-def test_trouble_at_the_box_excuses_promises_with_a_bound_in_time(promise):
-    trouble = Happened(98.0, 99.0, "paused", 0, planned=False)
-    history = BROKEN[promise]
-    excused = dataclasses.replace(history, happened=[*history.happened, trouble])
+def test_a_fault_of_the_box_suspends_promises_with_a_time_bound(promise):
+    fault = Incident(98.0, 99.0, "paused", 0, planned=False)
+    history = VIOLATIONS[promise]
+    excused = dataclasses.replace(history, incidents=[*history.incidents, fault])
     assert check_all(excused) == []
-    elsewhere = trouble._replace(box=1)
-    assert check_all(dataclasses.replace(history, happened=[*history.happened, elsewhere]))
+    elsewhere = fault._replace(box=1)
+    assert check_all(dataclasses.replace(history, incidents=[*history.incidents, elsewhere]))
 
 
 def test_a_seed_gives_the_same_plan_each_time():
-    plans = [make_plan(7, 20.0, Shape()) for _ in range(2)]
-    assert plans[0] == plans[1] != make_plan(8, 20.0, Shape())
+    plans = [make_plan(7, 20.0, FleetSize()) for _ in range(2)]
+    assert plans[0] == plans[1] != make_plan(8, 20.0, FleetSize())
--- a/soak/tests/test_proxy.py
+++ b/soak/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""A harmed link holds back, delays or resets what passes, and is sound again afterwards."""
+"""The link proxy holds back, delays or resets connections, and forwards normally afterwards."""
 
 from twisted.internet import defer, protocol, reactor
 from twisted.trial.unittest import TestCase
@@ -8,14 +8,14 @@
 
 
 class Echo(protocol.Protocol):
-    """Sends back what comes."""
+    """Sends received bytes back."""
 
     def dataReceived(self, data):
         self.transport.write(data)
 
 
 class Collector(protocol.Protocol):
-    """Keeps what comes."""
+    """Stores received bytes."""
 
     def __init__(self):
         self.got = b""
@@ -29,7 +29,7 @@
 
 
 class LinkProxyTest(TestCase):
-    """Against an echo server."""
+    """Tests with an echo server behind the proxy."""
 
     timeout = 20
 
@@ -42,7 +42,7 @@
 
     async def tearDown(self):
         self.conn.transport.abortConnection()
-        # What a delayed link still holds back.
+        # Lets delayed bytes arrive first.
         await sleep(reactor, 0.05)
         await self.link.close()
         await self.server.stopListening()
@@ -56,7 +56,7 @@
         self.conn.transport.write(data)
         await self.until(lambda: self.conn.got[before:] == data)
 
-    async def test_what_is_held_back_comes_when_the_link_is_sound_again(self):
+    async def test_bytes_held_back_arrive_when_the_link_passes_again(self):
         await self.echoed(b"a")
         for mode in (Silenced(), OneWay(to_caller=True), OneWay(to_caller=False)):
             self.link.set_mode(mode)
@@ -67,12 +67,12 @@
             self.link.set_mode(Passing())
             await self.until(lambda before=before: self.conn.got == before + b"b")
 
-    async def test_delayed_bytes_come_in_order(self):
+    async def test_delayed_bytes_arrive_in_order(self):
         self.link.set_mode(Delayed(0.02))
         await self.echoed(b"one two three")
 
-    async def test_bytes_that_come_after_a_delay_do_not_pass_those_that_were_delayed(self):
-        """Found by the soak: a stream's events came in another order."""
+    async def test_bytes_sent_after_the_end_of_a_delay_do_not_overtake_delayed_ones(self):
+        """Guards against reordering of a stream's events."""
         self.link.set_mode(Delayed(0.05))
         self.conn.transport.write(b"one")
         await sleep(reactor, 0.02)
@@ -81,7 +81,7 @@
         await self.until(lambda: len(self.conn.got) == 6)
         assert self.conn.got == b"onetwo"
 
-    async def test_a_reset_ends_open_connections_and_new_ones(self):
+    async def test_a_reset_closes_open_and_new_connections(self):
         await self.echoed(b"a")
         self.link.set_mode(Resetting())
         await self.conn.lost
--- a/soak/waiting.py
+++ b/soak/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for something in a soak, with a limit."""
+"""Waiting for conditions with a timeout."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -10,17 +10,23 @@
 __all__ = ["READY_S", "until"]
 
 READY_S = 120.0
-"""How long the fleet, or a box, may take to become ready, in seconds: several starts of a box on a
-busy machine."""
+"""Timeout for the fleet or a box to become ready, in seconds: several starts of a box on a busy
+machine."""
 
 CHECK_S = 0.1
-"""How often a condition is looked at, in seconds."""
+"""Interval at which a condition is checked, in seconds."""
 
 
 async def until(what: str, condition: Callable[[], Awaitable[bool]]) -> None:
-    """Wait for a condition; raises `TimeoutError`, which says `what`, after `READY_S`."""
+    """Wait until a condition holds.
+
+    Raises
+    ------
+    TimeoutError
+        After `READY_S`, with `what` in its message.
+    """
     end_s = time.monotonic() + READY_S
     while not await condition():
         if time.monotonic() > end_s:
-            raise TimeoutError(f"waited {READY_S:g} s in vain until {what}")
+            raise TimeoutError(f"timed out after {READY_S:g} s waiting until {what}")
         await sleep(reactor, CHECK_S)
