--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that the pages quote; each module is one command."""
+"""Benchmarks whose results the documentation quotes; each module is one command."""
--- a/benchmarks/box_overhead.py
+++ b/benchmarks/box_overhead.py
@@ -1,7 +1,7 @@
-"""What a box adds to a request and to a token, against a direct call in the same run.
+"""Overhead of a box per request and per token, compared with direct calls to an engine.
 
-``python -m benchmarks.box_overhead`` starts one box, two engine stand-ins and the platform's
-stand-ins as separate processes, sends batches of requests with answers of different lengths
+``python -m benchmarks.box_overhead`` starts one box, two engine stand-ins and the stand-ins of the
+platform as separate processes. It sends batches of requests with answers of different lengths
 through the box and directly to an engine, and fits processor time = a * requests + b * tokens.
 """
 
@@ -22,7 +22,7 @@
 
 
 async def _send(caller: Caller, requests: int, tokens: int) -> list[CallRecord]:
-    """Send requests, a few at once, and return their records."""
+    """Send requests with limited concurrency and return their records."""
     gate = defer.DeferredSemaphore(_AT_ONCE)
 
     def one() -> defer.Deferred[CallRecord]:
@@ -76,9 +76,9 @@
 
 
 def main() -> int:
-    """Measure, print and save."""
+    """Run the benchmark, print the results and save them."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--requests", type=int, default=200, help="requests of each length")
+    parser.add_argument("--requests", type=int, default=200, help="requests per answer length")
     args = parser.parse_args()
     fleet = Fleet()
     try:
--- a/benchmarks/capacity_idle.py
+++ b/benchmarks/capacity_idle.py
@@ -1,8 +1,8 @@
-"""What a box spends while no request comes, against the numbers of boxes and of targets.
+"""Cost of an idle box by the number of boxes and of targets.
 
-``python -m benchmarks.capacity_idle`` starts fleets of separate processes and measures each
-for a while: processor time of the boxes, bytes on the loopback interface (all of them the
-fleet's own), and the calls that the key-value stand-in counted.
+``python -m benchmarks.capacity_idle`` starts fleets of separate processes without requests. For
+each it records the processor time of the boxes, the bytes on the loopback interface, which must
+carry no other traffic, and the number of calls to the key-value stand-in.
 """
 
 import argparse
@@ -14,7 +14,7 @@
 from features.support.fleet import Fleet
 from features.support.processes import http_json
 
-# The intervals of the settings' defaults, not those of the scenarios.
+# Default settings; the scenarios in features/ use shorter intervals.
 _DEFAULT_INTERVALS = """\
 [peers]
 heartbeat_interval_s = 1.0
@@ -62,9 +62,9 @@
 
 
 def main() -> int:
-    """Measure, print and save."""
+    """Run the benchmark, print the results and save them."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=10.0, help="for each fleet")
+    parser.add_argument("--seconds", type=float, default=10.0, help="duration for each fleet")
     args = parser.parse_args()
     by_boxes = [_measure(n, 4, args.seconds) for n in (2, 4, 8, 16)]
     by_engines = [_measure(1, n, args.seconds) for n in (1, 4, 8, 16)]
@@ -72,7 +72,7 @@
         print(row)
     cpu = fit([(r["engines"], r["cpu_share_per_box"]) for r in by_engines])
     traffic = fit([(r["engines"], r["bytes_per_s_per_box"]) for r in by_engines])
-    # With four engines in all, the polls fall on fewer boxes than there are; take them out.
+    # Only the owners of the four engines poll them, so subtract the cost of polls.
     rest = [
         (r["boxes"], r["cpu_share_per_box"] - cpu.slope * r["engines"] / r["boxes"])
         for r in by_boxes
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -1,7 +1,7 @@
-"""The figures of docs/CAPACITY.md, worked out from the raw results.
+"""Generates the figures of docs/CAPACITY.md from the benchmark results.
 
-``python -m benchmarks.capacity_page`` writes them into the page, between two marks;
-``--check`` fails if page and results disagree.
+``python -m benchmarks.capacity_page`` writes them between two markers in the page; ``--check``
+fails if the page and the results disagree.
 """
 
 import argparse
@@ -25,7 +25,7 @@
 
 
 class Size(NamedTuple):
-    """A size of the fleet."""
+    """The size and load of a fleet, for which the figures are extrapolated."""
 
     name: str
     boxes: int
@@ -44,7 +44,7 @@
 
 
 class Row(NamedTuple):
-    """What one role costs one box, a second."""
+    """Cost of one role for one box, per second."""
 
     role: str
     cpu_s: float
@@ -57,7 +57,7 @@
 
 
 def control_rows(size: Size) -> list[Row]:
-    """Return the control cost of one box, role by role."""
+    """Return the control cost of one box for each role."""
     roles, idle = load("capacity_roles"), load("capacity_idle")
     per_box = size.requests_per_s / size.boxes
     calls, owner = roles["calls"], roles["owner"]
@@ -65,7 +65,7 @@
     owned = size.targets / size.boxes
     engines = size.targets / size.models
     remote = 1 - 1 / size.boxes
-    # A box is the caller of its own requests and the callee of as many of others.
+    # Each box makes calls for its own requests and answers as many calls of other boxes.
     rpc_s = per_box * remote * (_QUOTES + 1 + 2 * 0.5) * call_s
     sent_bytes = (_QUOTES + 1) * calls["call_bytes"] + 2 * calls["one_way_bytes"]
     rpc_bytes = 2 * per_box * remote * sent_bytes
@@ -140,7 +140,7 @@
 
 
 def _control_memory_mb() -> float:
-    """Return the memory of a box under load beyond that of its libraries, in MB."""
+    """Return the memory of a box under load without that of its libraries, in MB."""
     overhead, roles = load("box_overhead"), load("capacity_roles")
     table = roles["table"]["rows"][-1]["resident_bytes"]
     state = overhead["resident_bytes_after"] - roles["resident_bytes_at_start"]
@@ -204,7 +204,7 @@
 
 
 def figures() -> str:
-    """Return the part of the page that is made from the results."""
+    """Return the generated part of the page."""
     lines = [_BEGIN, ""]
     lines += [*_size_table(TWO_YEARS), *_size_table(TODAY)]
     lines += ["### Serving per box (callers' and targets' HTTP, tokens relayed)", ""]
@@ -268,21 +268,21 @@
 
 
 def main() -> int:
-    """Write the figures into the page, or check them."""
+    """Update the page, or check that it is up to date."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--check", action="store_true", help="only compare")
+    parser.add_argument("--check", action="store_true", help="compare without writing")
     args = parser.parse_args()
     text = PAGE.read_text(encoding="utf-8")
     before, _, rest = text.partition(_BEGIN)
     _, _, after = rest.partition(_END)
-    wanted = before + figures() + after
+    updated = before + figures() + after
     if args.check:
-        if wanted != text:
+        if updated != text:
             print(f"{PAGE} and benchmarks/results disagree: run python -m benchmarks.capacity_page")
             return 1
         print(f"{PAGE.name} agrees with the results")
         return 0
-    PAGE.write_text(wanted, encoding="utf-8")
+    PAGE.write_text(updated, encoding="utf-8")
     return 0
 
 
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -1,9 +1,8 @@
-"""What each role's work costs, measured in one process: slopes of time, bytes and memory.
+"""Cost of the roles of a box, in one process: time, bytes and memory by size.
 
-``python -m benchmarks.capacity_roles`` measures the decisions of a target's owner against the
-length of its queue, a call between boxes, the choice of candidates against the number of
-engines, membership and directory against the size of the fleet, the table against its rows,
-and claims against their rate.
+``python -m benchmarks.capacity_roles`` benchmarks the decisions of a target's owner by the length
+of its queue, a call between boxes, the choice of candidates by the number of engines, membership
+and directory by the size of the fleet, the table by its rows, and claims by their rate.
 """
 
 import argparse
@@ -20,7 +19,7 @@
 from benchmarks.measure import fit, loopback_bytes, resident_bytes, save
 from gladedrum.claims import Claim, ClaimShard, ClaimState, ShardLimits, Take
 from gladedrum.config import Settings
-from gladedrum.daemon.box import BoxProcess  # noqa: F401 - so that all of a box is imported
+from gladedrum.daemon.box import BoxProcess  # noqa: F401 - imports all modules of a box
 from gladedrum.peers import Membership, PeerHandler, PeerLink, listen_for_peers, record_of_job
 from gladedrum.platform import Box, Directory, StoredItem, Target
 from gladedrum.platform.directory import _parsed
@@ -55,7 +54,7 @@
 
 
 def measure_owner() -> dict:
-    """Quotes and grants against the number of waiting requests."""
+    """Benchmark quotes and grants by the number of waiting requests."""
     chosen = policy("fair_slack")
     rows = []
     for waiting in (0, 16, 64, 128, 256):
@@ -77,7 +76,7 @@
 
 
 def measure_candidates() -> dict:
-    """The choice of candidates against the number of engines of a model."""
+    """Benchmark the choice of candidates by the number of engines of a model."""
     chosen = policy("fair_slack")
     rows = []
     for engines in (18, 50, 100, 200, 400):
@@ -110,7 +109,7 @@
 
 
 def measure_membership() -> dict:
-    """A change of the list: reading it anew and finding all owners, against its size."""
+    """Benchmark a change of the target list, by size: parsing it and finding all owners."""
     rows = []
     for share in (0.1, 0.25, 0.5, 1.0):
         boxes, targets = int(400 * share), int(600 * share)
@@ -137,7 +136,7 @@
 
 
 def measure_table(pid: int) -> dict:
-    """The table against its rows: bytes of everything, time of an edit, memory."""
+    """Benchmark the table by its rows: size of messages, time of edit and lookup, memory."""
     rows = []
     knobs = {"weight": 2.0, "deadline_s": 60.0, "max_deadline_s": 900.0, "policy": "fair_slack"}
     kept = []
@@ -166,7 +165,7 @@
 
 
 class _Owners:
-    """Owners that answer at once, to measure the call itself."""
+    """Owners that answer at once, so that only the call itself is measured."""
 
     def now_s(self) -> float:
         return 0.0
@@ -182,7 +181,7 @@
 
 
 async def measure_calls(reactor) -> dict:
-    """Calls between boxes: processor time of both sides, and bytes."""
+    """Benchmark calls between boxes: processor time of both sides, and bytes."""
     table = TableInForce(reactor)
     handler = PeerHandler("callee", _Owners(), table, Traces(Settings({}), "callee", "callee"))
     listening = await listen_for_peers(reactor, "127.0.0.1", 0, handler)
@@ -220,7 +219,7 @@
 
 
 class _FakeKV:
-    """A key-value service that takes a while and counts."""
+    """A key-value service that delays and counts calls."""
 
     def __init__(self, reactor, delay_s: float):
         self.rows: dict[str, StoredItem] = {}
@@ -241,7 +240,7 @@
 
 
 async def measure_claims(reactor, seconds: float = 3.0) -> dict:
-    """Writes and bytes of one shard against the rate of claims, at 5 ms a write."""
+    """Benchmark writes and bytes of one shard by the rate of claims, at 5 ms per write."""
     rows = []
     for per_s in (10, 50, 100, 200, 400):
         kv = _FakeKV(reactor, 0.005)
@@ -269,7 +268,7 @@
 
 
 def main() -> int:
-    """Measure, print and save."""
+    """Run all benchmarks, print the results and save them."""
     argparse.ArgumentParser(description=__doc__).parse_args()
     result = SimpleNamespace(resident_bytes_at_start=resident_bytes(os.getpid()))
     result.owner = measure_owner()
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -1,8 +1,8 @@
-"""What a placement costs the box that decides: microseconds by engines, by size, by work known.
+"""Processor time of a placement decision by number of engines, prompt size and load.
 
-``python -m benchmarks.decision_cost`` measures it in one process, on a fleet busy with short
-answers and some long prompts. The figures are processor time of one core; a box with half a core
-takes twice as long.
+``python -m benchmarks.decision_cost`` runs decisions in one process, for a fleet busy with short
+and some long prompts. Results are microseconds of one core; a box with half a core takes twice as
+long.
 """
 
 import random
@@ -21,25 +21,25 @@
 from gladedrum.scheduling.engine_model import EngineTraits
 
 ENGINES = (20, 60, 150, 600)
-"""Numbers of engines that are measured."""
+"""Numbers of engines in the fleet."""
 
 SIZES = {"short": 5_000, "middle": 45_000, "long": 190_000, "giant": 1_000_000}
 """Sizes of prompts, in tokens."""
 
 OBJECTIVE_S = {"short": 0.3, "middle": 1.5, "long": 3.0, "giant": 4.0}
-"""When their first events are due, in seconds: it decides how many parts are weighed."""
+"""Objectives for the first event, in seconds; they affect into how many parts a prompt is split."""
 
 WORK_AN_ENGINE = (0.5, 1.5, 3.0)
-"""Requests on each engine that the deciding box knows of: a calm, a usual, a full fleet."""
+"""Known requests per engine: a fleet with light, usual and full load."""
 
 MIX = (*[5_000] * 17, 45_000, 45_000, 190_000)
-"""Prompts of that work, in tokens: the users' mix."""
+"""Prompt sizes of these requests in tokens, in the proportions of the expected workload."""
 
 STEP_S = 0.004
-"""Time between two placements, in seconds: a box that decides 250 times a second."""
+"""Time between two decisions, in seconds: 250 decisions per second."""
 
 REPEATS = 60
-"""Placements that a figure is the mean of."""
+"""Number of decisions over which each result is averaged."""
 
 
 def _fleet(engines: int, work: float) -> tuple[Clock, Chooser, FleetView]:
@@ -60,7 +60,7 @@
 
 
 def measure(engines: Sequence[int] = ENGINES) -> list[dict]:
-    """Return one row a fleet, load and size."""
+    """Return one row for each fleet, load and prompt size."""
     rows = []
     traits = EngineTraits(slots=5)
     for count in engines:
@@ -80,7 +80,7 @@
 
 
 def main() -> None:
-    """Measure all, print a table and write the results."""
+    """Run the benchmark, print a table and save the results."""
     rows = measure()
     for row in rows:
         print(f"{row['engines']:>5} {row['work']:>4} {row['size']:<7}{row['us']:>8} us")
--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -1,8 +1,8 @@
-"""What the work of a forwarding box costs, measured in one process: slopes of processor time.
+"""Processor time of a forwarding box for each of its tasks, in one process.
 
-``python -m benchmarks.forward_roles`` measures a datagram about work, a placement against the
-number of engines, a question to a member of the circle about what the store says, and handing on a
-changed list of targets against its length. The results are quoted on the page about capacity.
+``python -m benchmarks.forward_roles`` benchmarks a gossip datagram about placed requests, a
+placement decision by the number of engines, a query of a coordinator for its state of the store,
+and the transfer of a changed target list by its length.
 """
 
 import itertools
@@ -30,21 +30,21 @@
 from gladedrum.table import TableFollower, TableInForce
 
 ENGINES = (18, 60, 200, 600)
-"""Numbers of engines, or of targets in a list, that are measured."""
+"""Numbers of engines, or of targets in a list."""
 
 SIZES = {"short": 5_000, "middle": 45_000, "long": 190_000}
 """Sizes of prompts, in tokens."""
 
 REQUESTS_AN_ENGINE = 1.5
-"""Work on each engine while placements are measured: a busy fleet."""
+"""Requests on each engine in the placement benchmark: a busy fleet."""
 
 MICROSECONDS = 1e6
 
 TOGGLED = "i-0000000000"
-"""The target that comes and goes while lists are handed on."""
+"""Name of the target that is added and removed to change the list."""
 
 PORTS = itertools.count(10_000)
-"""A new start of it has another place, so that no list comes twice."""
+"""Ports of that target: a new one for each start, so that no list occurs twice."""
 
 
 def _cpu_us(action: Callable[[], object], repeats: int) -> float:
@@ -69,7 +69,7 @@
 
 
 class _Wire:
-    """Hands datagrams to the other side, through their bytes."""
+    """Passes encoded datagrams to the other side."""
 
     def __init__(self, box: str):
         self._box = box
@@ -89,7 +89,7 @@
 
 
 class _Circle(Circle):
-    """A circle of one member."""
+    """A coordinator group with one member."""
 
     def __init__(self, me: str):
         super().__init__(me, lambda: {"member": ("10.0.0.1", 1)})
@@ -116,7 +116,7 @@
 
 
 def measure_datagram() -> dict:
-    """A note of placed work: written, read, taken and ended, on one box each."""
+    """Benchmark encoding, decoding and applying the notes of a placed and an ended request."""
     known = _entries(60)
     names = list(known)
     view = FleetView()
@@ -133,7 +133,7 @@
 
 
 def measure_placement() -> list[dict]:
-    """A decision against the number of engines, for each size of prompt."""
+    """Benchmark a decision by the number of engines and the prompt size."""
     traits = EngineTraits()
     rows = []
     for count in ENGINES:
@@ -158,7 +158,7 @@
 
 
 def measure_vouching() -> list[dict]:
-    """A question and its answer, and the same with another list, against the list's length."""
+    """Benchmark a query and its reply by list length, for an equal and for a changed list."""
     rows = []
     for count in ENGINES:
         clock = Clock()
@@ -181,7 +181,7 @@
 
 
 def _toggle(targets: TargetKeeper, read_s: float) -> None:
-    """Take a target out of a list, or put it in again."""
+    """Remove a target from a list, or add it again."""
     entries = dict(targets.entries)
     if TOGGLED in entries:
         del entries[TOGGLED]
@@ -192,7 +192,7 @@
 
 
 def main() -> None:
-    """Measure all and write the results."""
+    """Run all benchmarks and save the results."""
     vouching = measure_vouching()
     placement = measure_placement()
     other = fit([(row["targets"], row["other_us"]) for row in vouching])
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -1,4 +1,4 @@
-"""What the measurements share: processor time, memory, fits, results."""
+"""Helpers for benchmarks: processor time, memory, linear fits and result files."""
 
 import json
 import os
@@ -15,14 +15,14 @@
 
 
 class Fit(NamedTuple):
-    """A straight line through measured points.
+    """A straight line fitted to points.
 
     Parameters
     ----------
     slope, intercept : float
-        Of the line.
+        Coefficients of the line.
     spread : float
-        The largest distance of a point from the line, as a share of the largest value.
+        Largest residual, as a share of the largest value.
     """
 
     slope: float
@@ -31,7 +31,7 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used, in seconds."""
+    """Return the user and system time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
@@ -42,14 +42,14 @@
 
 
 def loopback_bytes() -> int:
-    """Return the bytes that the loopback interface has received, in bytes."""
+    """Return the number of bytes that the loopback interface has received."""
     lines = Path("/proc/net/dev").read_text().splitlines()
     row = next(line for line in lines if line.strip().startswith("lo:"))
     return int(row.partition(":")[2].split()[0])
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
-    """Return the least-squares line through the points."""
+    """Return the least-squares line of the points."""
     xs, ys = zip(*points, strict=True)
     slope, intercept = statistics.linear_regression(xs, ys)
     worst = max(abs(y - (slope * x + intercept)) for x, y in points)
@@ -57,7 +57,7 @@
 
 
 def save(name: str, result: dict) -> None:
-    """Write a measurement's raw results beside the others."""
+    """Write the results of a benchmark to its file, with date, Python version and core count."""
     RESULTS.mkdir(exist_ok=True)
     row = {
         "measured": time.strftime("%Y-%m-%d"),
@@ -71,5 +71,5 @@
 
 
 def load(name: str) -> dict:
-    """Read a measurement's raw results."""
+    """Read the results of a benchmark."""
     return json.loads((RESULTS / f"{name}.json").read_text())
--- a/benchmarks/pass_engine.py
+++ b/benchmarks/pass_engine.py
@@ -1,6 +1,7 @@
-"""An engine that works in passes, in virtual time: what `scheduling.engine_model` predicts, played.
+"""Simulation in virtual time of an engine that computes in passes.
 
-Each engine has a pace of its own, and each pass takes a little more or less than the model says.
+A pass reads parts of prompts and writes events of several requests. Its duration follows
+`scheduling.engine_model`, with a random factor for each engine and each pass and a random overhead.
 """
 
 import random
@@ -12,26 +13,26 @@
 __all__ = ["Part", "Pass", "PassEngine", "Stream"]
 
 SPREAD = 0.06
-"""How much an engine, and a pass, may be slower or faster than the traits, as a share."""
+"""Maximum deviation of the speed of an engine, and of a pass, from the model, as a share."""
 
-EXTRA_S = 0.002
-"""The mean of what a pass takes beyond the model, in seconds."""
+MEAN_OVERHEAD_S = 0.002
+"""Mean overhead of a pass over the model, in seconds."""
 
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """A request on its engines: what is left to be written, and when its events came.
+    """A request on its engines: the rest of its answer, and the times of its events.
 
     Parameters
     ----------
     arrived_s : float
-        When it arrived.
+        Time of arrival.
     answer_left : float
         Tokens still to be written.
     unread_parts : int
         Parts of its prompt that are still to be read.
     patience_s : float
-        After a pause of so many seconds its caller leaves.
+        Longest wait for an event after which the caller gives up, in seconds.
     """
 
     arrived_s: float
@@ -41,11 +42,11 @@
     first_s: float | None = None
     last_s: float = 0.0
     pause_s: float = 0.0
-    over: bool = False
+    ended: bool = False
     lost: bool = False
 
     def note_event(self, now_s: float, tokens: int) -> None:
-        """Note an event; the caller may have left since the last one."""
+        """Record an event; the request is lost if the caller has given up before it."""
         if self.first_s is None:
             self.first_s = now_s - self.arrived_s
             self.lost = self.first_s > self.patience_s
@@ -54,7 +55,7 @@
             self.lost = self.pause_s > self.patience_s
         self.last_s = now_s
         self.answer_left -= tokens
-        self.over = self.lost or self.answer_left <= 0
+        self.ended = self.lost or self.answer_left <= 0
 
 
 @dataclass(slots=True, eq=False)
@@ -66,11 +67,11 @@
     stream : Stream
         The request.
     unread : float
-        Tokens still to be read here.
+        Tokens that this engine must still read.
     parts : int
-        How many engines read the prompt.
+        Number of engines that read the prompt.
     writes : bool
-        Whether the answer is written here.
+        Whether this engine writes the answer.
     """
 
     stream: Stream
@@ -81,11 +82,11 @@
 
     @property
     def is_joint(self) -> bool:
-        """Whether other engines read parts of the same prompt."""
+        """Whether other engines read parts of the same prompt too."""
         return self.parts > 1
 
     def take(self, tokens: float, traits: EngineTraits) -> float:
-        """Read tokens; return the time that it takes, in seconds."""
+        """Read tokens and return the duration, in seconds."""
         pairs = (tokens * self.read + tokens * tokens / 2) * self.parts
         self.read += tokens
         self.unread -= tokens
@@ -93,7 +94,7 @@
 
 
 class Pass(NamedTuple):
-    """One pass: how long it takes, who gets an event at its end, which parts have been read."""
+    """A pass: duration in seconds, parts that write an event at its end, and parts fully read."""
 
     took_s: float
     writers: list[Part]
@@ -102,27 +103,27 @@
 
 @dataclass
 class PassEngine:
-    """An engine.
+    """A simulated engine.
 
     Parameters
     ----------
     traits : EngineTraits
-        Its figures.
+        Parameters of the model.
     rng : random.Random
-        For its pace.
+        Source of the deviations from the model.
     """
 
     traits: EngineTraits
     rng: random.Random
     parts: list[Part] = field(default_factory=list)
-    works: bool = False
+    is_running: bool = False
 
     def __post_init__(self) -> None:
-        self._pace = 1 + SPREAD * self.rng.uniform(-1, 1)
+        self._slowdown = 1 + SPREAD * self.rng.uniform(-1, 1)
 
-    def play_pass(self) -> Pass | None:
-        """Return the next pass, None if there is nothing to do."""
-        self.parts = [p for p in self.parts if not p.stream.over and (p.writes or p.unread > 0)]
+    def next_pass(self) -> Pass | None:
+        """Simulate the next pass and return it; None if the engine has no work."""
+        self.parts = [p for p in self.parts if not p.stream.ended and (p.writes or p.unread > 0)]
         if not self.parts:
             return None
         running = self.parts[: self.traits.slots]
@@ -131,11 +132,11 @@
         step_s = self.traits.step_s + len(writers) * self.traits.per_writer_s
         step_s += sum(p.read for p in writers) * self.traits.per_context_token_s
         read, read_s = self._read([p for p in running if p.unread > 0], steps)
-        took_s = (steps * step_s + read_s) * self._pace * (1 + SPREAD * self.rng.uniform(-1, 1))
-        return Pass(took_s + self.rng.expovariate(1 / EXTRA_S), writers, read)
+        took_s = (steps * step_s + read_s) * self._slowdown * (1 + SPREAD * self.rng.uniform(-1, 1))
+        return Pass(took_s + self.rng.expovariate(1 / MEAN_OVERHEAD_S), writers, read)
 
     def _read(self, readers: list[Part], steps: int) -> tuple[list[Part], float]:
-        """Read what a pass has room for; return the parts that are read, and the time."""
+        """Read as much as fits into a pass; return the parts fully read, and the duration."""
         budget = steps * self.traits.chunk
         read_s = 0.0
         for part in reading_order(readers, lambda part: part.is_joint):
--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -1,9 +1,10 @@
-"""Ways to place, compared on one mix of work: short answers and giants by turns, in virtual time.
+"""Comparison of variants of the placement decision, in a simulation in virtual time.
 
-``python -m benchmarks.placement_mix`` plays 60 engines for 30 seconds, many seeds a way, each way
-on the same arrivals. The real `Chooser` decides and knows all work at once; engines follow the
-model that it predicts by, but for a pace of their own. No boxes, faults or hedges: what is compared
-is the decision alone. The figures of the work are those of a users' sheet.
+``python -m benchmarks.placement_mix`` simulates 30 seconds of a workload whose phases alternate
+between mostly long and mostly short prompts. All variants get the same arrivals for a seed. The
+product's `Chooser` decides with complete and current information, and the engines follow the model
+that it predicts with, apart from random deviations in speed. There are no boxes, faults or hedges,
+so that only the decision is compared.
 """
 
 import argparse
@@ -38,28 +39,28 @@
     per_context_token_s=2.54e-9, read_tokens_per_s=256_000.0, per_pair_s=0.917e-10, stride=52,
     hop_s=0.0001, usual_answer=1604,
 )  # fmt: skip
-"""The engines of the sheet."""
+"""Traits of the simulated engines."""
 
 LATE_WORTH = 0.25
-"""What a late answer is worth, as a share."""
+"""Worth of a late answer, as a share of its worth in time."""
 
 PHASE_S = 10.0
-"""How long a phase of the mix lasts, in seconds."""
+"""Duration of a phase of the workload, in seconds."""
 
-AFTER_S = 12.0
-"""For how long after the last phase the engines are played on, in seconds."""
+DRAIN_S = 12.0
+"""Time after the last phase in which running requests may finish, in seconds."""
 
-FIRST_PASS_AFTER_S = 0.002
-"""From a decision until its engine begins, in seconds."""
+FIRST_PASS_DELAY_S = 0.002
+"""Delay between a decision and the first pass of an idle engine, in seconds."""
 
-GUESS_SPREAD = 0.5
-"""How far callers' guesses at the length of an answer are off (standard deviation of the log)."""
+ESTIMATE_SPREAD = 0.5
+"""Standard deviation of the logarithm of the error in callers' estimates of the answer length."""
 
 START_S = 100.0
 
 
 class Kind(NamedTuple):
-    """A kind of request: how often it comes, its sizes, and what is aimed at."""
+    """A kind of request: its rate, distribution of sizes, worth and time objectives."""
 
     name: str
     per_s: float
@@ -74,12 +75,12 @@
 
     @property
     def patience_s(self) -> float:
-        """How long a caller waits for an event, in seconds."""
+        """Longest time for which a caller waits for an event, in seconds."""
         pauses_s = CALLER_WAIT_PAUSES_X * self.pause_s
         return max(CALLER_WAIT_S, CALLER_WAIT_X * self.first_s, pauses_s)
 
     def worth_of(self, prompt: float) -> float:
-        """Return what a request of this kind is worth in time, by its length."""
+        """Return the worth of a request of this kind that is served in time, by prompt size."""
         return self.worth * min(4.0, 0.3 + 0.7 * prompt / self.prompt)
 
 
@@ -88,24 +89,24 @@
     Kind("middle", 6.1, 45_000, 0.5, 110_000, 20, 2.6, 1.532, 0.5, 10.215),
     Kind("giant", 1.04, 300_000, 0.55, 1_000_000, 16, 30.0, 4.055, 0.8, 15.207),
 )
-"""The users' kinds that engines serve."""
+"""Kinds of requests in the expected workload."""
 
 PHASES = ((0.36, 1.3, 2.7), (2.45, 0.5, 0.05), (0.36, 1.3, 2.7))
-"""How much more or less often each kind comes, phase by phase."""
+"""Factors on the rates of the kinds, for each phase."""
 
 
-class Asked(NamedTuple):
-    """A request that will come."""
+class Arrival(NamedTuple):
+    """A request that arrives at `at_s`; sizes are in tokens, `estimate` is the caller's."""
 
     kind: Kind
     at_s: float
     prompt: int
     answer: int
-    guess: int
+    estimate: int
 
 
 class KindResult(NamedTuple):
-    """How the requests of one kind were served."""
+    """Results of the requests of one kind: numbers of requests, and possible and earned worth."""
 
     requests: int
     late: int
@@ -114,8 +115,8 @@
     earned: float
 
 
-class MixPlay:
-    """One play of the mix."""
+class MixSimulation:
+    """One run of the simulation."""
 
     def __init__(self, seed: int, engines: int, share: float):
         self._rng = random.Random(seed)
@@ -129,24 +130,24 @@
         targets.entries = _entries(engines)
         self._chooser = Chooser("box", self._clock, targets, self._view)
         self._engines = {name: PassEngine(TRAITS, self._rng) for name in targets.entries}
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
-        self._asked = sorted(self._draw(share), key=lambda asked: asked.at_s)
-        self._streams: dict[Asked, Stream] = {}
+        self._arrivals = sorted(self._draw(share), key=lambda arrival: arrival.at_s)
+        self._streams: dict[Arrival, Stream] = {}
         self._plans: dict[Stream, object] = {}
 
     def run(self) -> dict[str, KindResult]:
-        """Play it; return the result of each kind."""
-        for asked in self._asked:
-            self._at(asked.at_s, partial(self._place, asked))
-        until_s = START_S + len(PHASES) * PHASE_S + AFTER_S
-        while self._due and self._due[0][0] <= until_s:
-            at_s, _number, act = heapq.heappop(self._due)
+        """Run the simulation and return the result of each kind."""
+        for arrival in self._arrivals:
+            self._schedule(arrival.at_s, partial(self._place, arrival))
+        until_s = START_S + len(PHASES) * PHASE_S + DRAIN_S
+        while self._events and self._events[0][0] <= until_s:
+            at_s, _number, act = heapq.heappop(self._events)
             self._clock.advance(max(0.0, at_s - self._clock.seconds()))
             act()
         return {kind.name: self._result(kind) for kind in KINDS}
 
-    def _draw(self, share: float) -> Iterator[Asked]:
+    def _draw(self, share: float) -> Iterator[Arrival]:
         for index, (kind, more) in (
             (index, pair)
             for index, phase in enumerate(PHASES)
@@ -157,81 +158,81 @@
                 prompt = int(min(kind.longest, self._lognormal(kind.prompt, kind.prompt_spread)))
                 events = max(1, round(min(2.5 * kind.events, self._lognormal(kind.events, 0.6))))
                 answer = events * TRAITS.stride
-                guess = int(answer * math.exp(self._rng.gauss(0, GUESS_SPREAD)))
-                yield Asked(kind, at_s, prompt, answer, guess)
+                estimate = int(answer * math.exp(self._rng.gauss(0, ESTIMATE_SPREAD)))
+                yield Arrival(kind, at_s, prompt, answer, estimate)
 
     def _lognormal(self, mean: float, spread: float) -> float:
         sigma = math.sqrt(math.log(1 + spread * spread))
         return self._rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
 
-    def _at(self, at_s: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._due, (at_s, next(self._numbers), act))
+    def _schedule(self, at_s: float, act: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._numbers), act))
 
-    def _place(self, asked: Asked) -> None:
-        kind, now_s = asked.kind, self._clock.seconds()
-        lost_s = min(kind.deadline_s - asked.guess * TRAITS.step_s, kind.patience_s)
+    def _place(self, arrival: Arrival) -> None:
+        kind, now_s = arrival.kind, self._clock.seconds()
+        lost_s = min(kind.deadline_s - arrival.estimate * TRAITS.step_s, kind.patience_s)
         demand = Demand(
-            self._service, asked.prompt, asked.guess, asked.at_s + kind.first_s, kind.pause_s,
-            "hall", "", asked.at_s + lost_s,
+            self._service, arrival.prompt, arrival.estimate, arrival.at_s + kind.first_s,
+            kind.pause_s, "hall", "", arrival.at_s + lost_s,
         )  # fmt: skip
         choice = self._chooser.choose(demand, ())
         if choice is None or choice.lost_chance > HOPELESS:
             return
-        stream = Stream(asked.at_s, asked.answer, len(choice.names), kind.patience_s)
+        stream = Stream(arrival.at_s, arrival.answer, len(choice.names), kind.patience_s)
         work_id = f"box_{len(self._streams)}"
-        self._streams[asked] = stream
+        self._streams[arrival] = stream
         self._plans[stream] = self._chooser.plan(work_id, demand, choice)
         for index, name in enumerate(choice.names):
             engine = self._engines[name]
-            part = Part(stream, asked.prompt / len(choice.names), len(choice.names), index == 0)
+            part = Part(stream, arrival.prompt / len(choice.names), len(choice.names), index == 0)
             engine.parts.append(part)
-            if not engine.works:
-                engine.works = True
-                self._at(now_s + FIRST_PASS_AFTER_S, partial(self._begin_pass, engine))
+            if not engine.is_running:
+                engine.is_running = True
+                self._schedule(now_s + FIRST_PASS_DELAY_S, partial(self._begin_pass, engine))
 
     def _begin_pass(self, engine: PassEngine) -> None:
-        played = engine.play_pass()
-        if played is None:
-            engine.works = False
+        next_pass = engine.next_pass()
+        if next_pass is None:
+            engine.is_running = False
             return
-        end_s = self._clock.seconds() + played.took_s
-        self._at(end_s, partial(self._end_pass, engine, played.writers, played.read))
+        end_s = self._clock.seconds() + next_pass.took_s
+        self._schedule(end_s, partial(self._end_pass, engine, next_pass.writers, next_pass.read))
 
     def _end_pass(self, engine: PassEngine, writers: list[Part], read: list[Part]) -> None:
         now_s = self._clock.seconds()
         for part in read:
             part.stream.unread_parts -= 1
-        for stream in (part.stream for part in writers if not part.stream.over):
+        for stream in (part.stream for part in writers if not part.stream.ended):
             if stream.first_s is None:
                 self._view.note_first_event(self._plans[stream], now_s)
             stream.note_event(now_s, TRAITS.stride)
-            if stream.over:
+            if stream.ended:
                 self._view.note_ended(self._plans[stream])
         self._begin_pass(engine)
 
     def _result(self, kind: Kind) -> KindResult:
-        asked = [one for one in self._asked if one.kind is kind]
-        verdicts = [(kind.worth_of(one.prompt), self._share(one)) for one in asked]
+        of_kind = [one for one in self._arrivals if one.kind is kind]
+        scores = [(kind.worth_of(one.prompt), self._earned_share(one)) for one in of_kind]
         return KindResult(
-            len(asked),
-            sum(share == LATE_WORTH for _, share in verdicts),
-            sum(share == 0.0 for _, share in verdicts),
-            sum(worth for worth, _ in verdicts),
-            sum(worth * share for worth, share in verdicts),
+            len(of_kind),
+            sum(share == LATE_WORTH for _, share in scores),
+            sum(share == 0.0 for _, share in scores),
+            sum(worth for worth, _ in scores),
+            sum(worth * share for worth, share in scores),
         )
 
-    def _share(self, asked: Asked) -> float:
-        """Return which share of its worth a request has earned."""
-        stream = self._streams.get(asked)
-        if stream is None or stream.lost or not stream.over:
+    def _earned_share(self, arrival: Arrival) -> float:
+        """Return the share of its worth that a request has earned."""
+        stream = self._streams.get(arrival)
+        if stream is None or stream.lost or not stream.ended:
             return 0.0
-        kind = asked.kind
+        kind = arrival.kind
         in_time = stream.first_s <= kind.first_s and stream.pause_s <= kind.pause_s
         return 1.0 if in_time else LATE_WORTH
 
 
 def _worth_by_kind(prompt: float) -> float:
-    """Return a request's worth by the sheet's prices of its kind, which a box is not told."""
+    """Return a request's worth by its kind, which a box does not know."""
     kind = next(kind for kind in KINDS if prompt <= kind.longest)
     return kind.worth_of(prompt)
 
@@ -240,7 +241,7 @@
     return lambda _candidate: 0.0
 
 
-WAYS: dict[str, Callable[[], AbstractContextManager]] = {
+VARIANTS: dict[str, Callable[[], AbstractContextManager]] = {
     "as it stands": nullcontext,
     "worth by kind": lambda: patch.object(choosing, "worth_of", _worth_by_kind),
     "no exposure": lambda: patch.object(credit, "_exposure", _no_exposure),
@@ -254,36 +255,36 @@
     "all engines quoted": lambda: patch.object(credit, "USUAL_QUOTED", 10_000),
     "12 parts at the most": lambda: patch.object(credit, "PART_COUNTS", credit.PART_COUNTS[:9]),
 }
-"""What is compared; each stands for a decision while its context is entered."""
+"""Variants of the decision; each applies while its context is entered."""
 
 
-def measure(way: str, engines: int, seeds: int, share: float = 1.0) -> dict:
-    """Return the mean result of a way."""
-    with WAYS[way]():
-        plays = [MixPlay(seed, engines, share).run() for seed in range(1, seeds + 1)]
+def measure(variant: str, engines: int, seeds: int, share: float = 1.0) -> dict:
+    """Return the result of a variant over all seeds."""
+    with VARIANTS[variant]():
+        runs = [MixSimulation(seed, engines, share).run() for seed in range(1, seeds + 1)]
     kinds = {
-        name: KindResult(*map(sum, zip(*(play[name] for play in plays), strict=True)))
-        for name in plays[0]
+        name: KindResult(*map(sum, zip(*(run[name] for run in runs), strict=True)))
+        for name in runs[0]
     }
     earned = sum(row.earned for row in kinds.values()) / sum(row.owed for row in kinds.values())
     shares = {name: round(row.earned / row.owed, 4) for name, row in kinds.items()}
     late = {name: [row.requests, row.late, row.lost] for name, row in kinds.items()}
-    return {"way": way, "engines": engines, "share": share, "seeds": seeds,
+    return {"way": variant, "engines": engines, "share": share, "seeds": seeds,
             "earned": round(earned, 4), "by_kind": shares, "requests_late_lost": late}  # fmt: skip
 
 
 def main() -> None:
-    """Measure all ways, print a table and write the results."""
+    """Run all variants, print a table and save the results."""
     parser = argparse.ArgumentParser(description=__doc__.partition("\n")[0])
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--engines", type=int, nargs="+", default=[60, 45])
-    parser.add_argument("--ways", nargs="+", default=list(WAYS), choices=list(WAYS))
+    parser.add_argument("--ways", nargs="+", default=list(VARIANTS), choices=list(VARIANTS))
     args = parser.parse_args()
     rows = []
-    for engines, way in itertools.product(args.engines, args.ways):
-        row = measure(way, engines, args.seeds)
+    for engines, variant in itertools.product(args.engines, args.ways):
+        row = measure(variant, engines, args.seeds)
         rows.append(row)
-        print(f"{engines:>4} {way:<30} {row['earned']:.4f}  {row['by_kind']}", flush=True)
+        print(f"{engines:>4} {variant:<30} {row['earned']:.4f}  {row['by_kind']}", flush=True)
     save("placement_mix", {"rows": rows})
 
 
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,8 +1,8 @@
-"""All policies on the same traces: the figures that docs/design/policies.md quotes.
+"""Comparison of all policies on the same traces, as quoted in docs/design/policies.md.
 
-``python -m benchmarks.policies`` replays, in one process each and under a deterministic
-clock, the default workload on 18 engines: at 85% load with three seeds, with half a data
-hall and half of all engines lost, and at twice and five times the load that the engines can take.
+``python -m benchmarks.policies`` replays the default workload on 18 engines with a deterministic
+clock, one process per case and policy. Cases: 85% load with three seeds, loss of half a data hall
+and of half of all engines, and twice and five times the load that the engines can serve.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 
 class Case(NamedTuple):
-    """A workload and what happens to the fleet."""
+    """A workload and the number of engines that fail while it runs."""
 
     name: str
     workload: Workload
@@ -47,7 +47,7 @@
 
 
 def main() -> int:
-    """Run all cases, print a line for each and save."""
+    """Run all cases, print a line for each and save the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--processes", type=int, default=max(1, (os.cpu_count() or 2) // 2))
     args = parser.parse_args()
--- a/benchmarks/policies_page.py
+++ b/benchmarks/policies_page.py
@@ -1,6 +1,7 @@
-"""The table of docs/design/policies.md, made from the raw results.
+"""Generates the table of docs/design/policies.md from the benchmark results.
 
-``python -m benchmarks.policies_page`` writes it between two marks; ``--check`` compares.
+``python -m benchmarks.policies_page`` writes it between two markers in the page; ``--check`` fails
+if the page and the results disagree.
 """
 
 import argparse
@@ -19,7 +20,7 @@
 
 
 def figures() -> str:
-    """Return the table."""
+    """Return the table with its markers."""
     lines = [_BEGIN, "", _row(_HEADING), _row(["---"] * len(_HEADING))]
     for row in load("policies")["rows"]:
         p95 = [row["by_length"][name]["first_token_s"]["p95"] for name in _LENGTHS]
@@ -44,17 +45,17 @@
 
 
 def main() -> int:
-    """Write the table into the page, or check it."""
+    """Update the page, or check that it is up to date."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--check", action="store_true", help="only compare")
+    parser.add_argument("--check", action="store_true", help="compare without writing")
     args = parser.parse_args()
     text = PAGE.read_text(encoding="utf-8")
     before, _, rest = text.partition(_BEGIN)
-    wanted = before + figures() + rest.partition(_END)[2]
+    updated = before + figures() + rest.partition(_END)[2]
     if not args.check:
-        PAGE.write_text(wanted, encoding="utf-8")
+        PAGE.write_text(updated, encoding="utf-8")
         return 0
-    if wanted != text:
+    if updated != text:
         print(f"{PAGE} and benchmarks/results disagree: run python -m benchmarks.policies_page")
         return 1
     print(f"{PAGE.name} agrees with the results")
