--- a/soak/plan.py
+++ b/soak/plan.py
@@ -262,13 +262,14 @@
     latest_s = length_s - MAX_PARTITION_S
     if not planned_only and latest_s > WARMUP_S and rng.random() < LONG_PARTITION_SHARE:
         plan += _key_revoked_in_partition(rng, size, rng.uniform(WARMUP_S, latest_s))
-    # Separate generators, so that these parts don't change the rest of the plan.
+    # Separate generators, so that these parts don't change the rest of the plan. Their texts are
+    # part of the seeds: changing one changes the plans of all seeds.
     plan += _pauses_in_planned_work(random.Random(f"pauses of {seed}"), size, length_s)
-    rates, rests = random.Random(f"rates of {seed}"), random.Random(f"rests of {seed}")
+    rates, backoffs = random.Random(f"rates of {seed}"), random.Random(f"rests of {seed}")
     half = max(1, size.targets // 2)
     plan += _advertised_by_targets(rates, size, length_s, "rate_per_s", RATES_PER_S, half)
     # Sometimes all targets of a service ask for backoff, so that no other target takes the load.
-    plan += _advertised_by_targets(rests, size, length_s, "rest_s", BACKOFFS_S, size.targets - 1)
+    plan += _advertised_by_targets(backoffs, size, length_s, "rest_s", BACKOFFS_S, size.targets - 1)
     if not planned_only:
         plan += _leaves_in_outage(random.Random(f"untold of {seed}"), size, length_s)
     plan += _store_restores(random.Random(f"copies of {seed}"), length_s)
@@ -303,18 +304,18 @@
     length_s: float,
     switch: str,
     values: Sequence[float],
-    most: int,
+    max_targets: int,
 ) -> list[PlannedFault]:
-    """Return advertised limits of up to `most` targets."""
+    """Return advertised limits of up to `max_targets` targets."""
     if rng.random() >= ADVERTISE_SHARE:
         return []
-    named = rng.sample(range(size.targets), rng.randint(1, most))
+    chosen = rng.sample(range(size.targets), rng.randint(1, max_targets))
     return [
         PlannedFault(
             rng.uniform(0.5, max(0.5, length_s / 2)),
             TargetAdvertises(target, switch, rng.choice(values), rng.uniform(*ADVERTISED_FOR_S)),
         )
-        for target in named
+        for target in chosen
     ]
 
 
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -139,14 +139,14 @@
 def _keys_end(history: History) -> list[Violation]:
     requests = _requests_by_id(history)
     late = [
-        (requests[note.request_id], taken_s)
+        (requests[note.request_id], revoked_s)
         for note in _keyed_runs(history, requests)
-        if (taken_s := history.keys_revoked.get(requests[note.request_id].key)) is not None
+        if (revoked_s := history.keys_revoked.get(requests[note.request_id].key)) is not None
     ]
     return [
         Violation("keys end", row.sent_s, f"{row.request_id} ran with a key that was taken away")
-        for row, taken_s in late
-        if row.sent_s > taken_s + KEY_BOUND_S
+        for row, revoked_s in late
+        if row.sent_s > revoked_s + KEY_BOUND_S
     ]
 
 
@@ -441,6 +441,7 @@
     "the fleet recovers": _fleet_recovers,
     "faults are played": _faults_are_injected,
 }
+"""Check of each promise, by the promise's name in reports."""
 
 
 def _version(organisation: str) -> int:
