--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Behave hooks: each scenario has a fleet of its own, which is stopped after it."""
+"""Behave hooks: each scenario runs with its own fleet, which is stopped afterwards."""
 
 from features.support.fleet import Fleet
 
--- a/features/ownership.feature
+++ b/features/ownership.feature
@@ -1,5 +1,5 @@
 Feature: Each target has one owner box, which may die, freeze, return or change
-  Requests go through box "other", which does not own engine-1.
+  The owner keeps the target's queue. Requests go through box "other", which does not own engine-1.
 
   Scenario: The owner dies while one request runs and another waits
     Given a fleet of 2 boxes and 1 engines
@@ -11,10 +11,10 @@
     And owner is killed
     Then "d1" is whole
     And "d2" is whole
-    And 2 sessions were started in all
+    And 2 sessions were started in total
     And every engine's memory is free again
 
-  Scenario: The owner freezes while a request waits, and wakes when it is over
+  Scenario: The owner freezes while a request waits, and resumes after the request has ended
     Given a fleet of 2 boxes and 1 engines
     And "owner" owns engine-1 and "other" does not
     When a half-memory dossier "d1" for 2000 tokens is sent to other
@@ -27,11 +27,11 @@
     When owner receives SIGCONT
     And a clause question "c" is sent to owner
     Then "c" is whole
-    And 3 sessions were started in all
+    And 3 sessions were started in total
     And every engine's memory is free again
     And no reservation is left on owner
 
-  Scenario: The owner is stopped as planned while a request waits at it
+  Scenario: The owner is stopped gracefully while a request waits in its queue
     Given a fleet of 2 boxes and 1 engines
     And "owner" owns engine-1 and "other" does not
     When a half-memory dossier "d1" for 2000 tokens is sent to other
@@ -42,10 +42,10 @@
     Then "d1" is whole
     And "d2" is whole
     And owner exits with code 0
-    And 2 sessions were started in all
+    And 2 sessions were started in total
     And every engine's memory is free again
 
-  Scenario: A new box takes over the ownership while a request runs
+  Scenario: A new box becomes the owner while a request runs
     Given a fleet of 1 boxes and 4 engines
     When a clause question "c1" for 1500 tokens is sent to box-1
     And "c1" has its first token
@@ -55,7 +55,7 @@
     And "d" is whole
     And every engine's memory is free again
 
-  Scenario: A target that is leaving gets no new work and finishes what it has
+  Scenario: A leaving target receives no new requests and finishes running ones
     Given a fleet of 2 boxes and 2 engines
     When a clause question "c1" for 1500 tokens is sent to box-1
     And "c1" has its first token
@@ -63,7 +63,7 @@
     Then no new session reaches it from 12 clause questions
     And "c1" is whole
 
-  Scenario Outline: A target that <does what> is circumvented
+  Scenario Outline: Requests succeed despite a target that <does what>
     Given a fleet of 2 boxes and 3 engines
     When engine-1 has its switch <switch> set to <value>
     Then 12 clause questions that may be repeated all complete
@@ -76,7 +76,7 @@
       | answers for another        | crossed            | true  |
       | lies about its load        | load_factor        | 0     |
 
-  Scenario: An engine dies; what may be repeated goes on elsewhere at the exact offset
+  Scenario: An engine dies; a repeatable request resumes elsewhere at the exact offset
     Given a fleet of 2 boxes and 2 engines
     When a clause question "r" for 1500 tokens that may be repeated is sent to box-1
     And a clause question "s" for 1500 tokens is sent to box-2
@@ -86,7 +86,7 @@
     Then "r" is whole
     And "s" ends as failed with status 200
 
-  Scenario: The caller hangs up while its target is frozen; nothing is sent again
+  Scenario: The caller hangs up while its target is frozen; the request is not sent again
     Given a fleet of 1 boxes and 2 engines
     And box-1 knows the sessions of 2 engines
     When engine-1 receives SIGSTOP
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps of callers."""
+"""Steps that send requests and check the responses."""
 
 import http.client
 import json
@@ -88,7 +88,7 @@
         assert answer.error["type"] == "invalid_request_error"
 
 
-@then('a call of the service "{service}" through {box} runs once')
+@then('a call to the service "{service}" through {box} runs once')
 def service_call(context, service, box):
     port = context.fleet.boxes[box].port("callers")
     answer = post(port, f"/services/{service}/orders?x=1", {"frame": 1})
@@ -137,13 +137,13 @@
         assert call.result().outcome == "completed"
 
 
-@then("one trace has the spans entry, place and target, and an owner's of another box")
+@then("one trace has the spans entry, place and target, and an owner span of another box")
 def one_trace(context):
     wait_for("a trace over two boxes", lambda: any(map(_is_whole, _traces(context).values())))
 
 
 def _traces(context):
-    """Return, for each trace, the name and box of its spans."""
+    """Return the spans of each trace as pairs of name and box."""
     traces = {}
     for path in context.fleet.path.glob("*.traces"):
         for line in path.read_text().splitlines():
@@ -160,7 +160,7 @@
 
 
 def _raw(context, box, body, length):
-    """Send a request whose body may be shorter than it says; returns status and error."""
+    """Send a body that may be shorter than its declared length; return status and error."""
     port = context.fleet.boxes[box].port("callers")
     head = f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: {length}\r\n\r\n"
     with socket.create_connection(("127.0.0.1", port), timeout=30) as conn:
@@ -175,7 +175,7 @@
     context.raw = _raw(context, box, b"x" * size, size)
 
 
-@when("a body is begun at {box} and not sent to its end")
+@when("an incomplete body is sent to {box}")
 def stalled_body(context, box):
     context.raw = _raw(context, box, b"{", 100)
 
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -24,7 +24,7 @@
 
 
 def process(context, name):
-    """Return a process by its name or by the name that the scenario gave it."""
+    """Return a process by its name or its alias in the scenario."""
     name = context.aliases.get(name, name)
     return next(p for p in context.fleet.processes() if p.name == name)
 
@@ -70,7 +70,7 @@
     raise AssertionError("no engine holds a segment")
 
 
-@when("{box} is gone from the list")
+@when("{box} is removed from the list")
 def gone(context, box):
     del context.fleet.boxes[box]
     context.fleet.publish()
@@ -101,7 +101,7 @@
     wait_for(f"{name} to wait", waiting)
 
 
-@then("{count:d} sessions were started in all")
+@then("{count:d} sessions were started in total")
 def count_sessions(context, count):
     runs = context.fleet.runs()
     assert len(runs) == len(set(runs)) == count, runs
@@ -178,7 +178,7 @@
     wait_for("the sessions to be known", known)
 
 
-@given('a box "{name}" takes bodies of {size:d} bytes within {seconds:d} seconds')
+@given('a box "{name}" accepts bodies of {size:d} bytes within {seconds:d} seconds')
 def small_box(context, name, size, seconds):
     entry = f"port = 0\nmax_body_bytes = {size}\nbody_time_s = {seconds}\n"
     context.fleet.start_box(name, entry=entry)
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -1,4 +1,4 @@
-"""Steps about idempotency keys and the key-value service."""
+"""Steps for idempotency keys and the key-value service."""
 
 from behave import then, when
 
@@ -11,14 +11,14 @@
     return {"Idempotency-Key": key}
 
 
-@when('twins with key "{key}" go to both boxes at once')
+@when('two identical requests with key "{key}" are sent to both boxes at once')
 def send_twins(context, key):
     for box in ("box-1", "box-2"):
         send(context, "clause question", "twin", box, 8, _key(key))
         context.calls[box] = context.calls.pop("twin")
 
 
-@then("one of the two is whole and the other is told of it")
+@then("one of the two is whole and the other is refused with status 409")
 def one_whole(context):
     answers = [context.calls[box].result() for box in ("box-1", "box-2")]
     assert sorted(a.status for a in answers) == [200, 409], answers
@@ -30,13 +30,13 @@
     send(context, "clause question", name, box, tokens, _key(key))
 
 
-@when('question "{name}" with key "{key}" and leave to repeat goes to {box}')
+@when('question "{name}" with key "{key}" that may be repeated goes to {box}')
 def send_keyed_repeatable(context, name, key, box):
     headers = {**_key(key), "Gladedrum-May-Repeat": "yes"}
     send(context, "clause question", name, box, 8, headers)
 
 
-@when('{box} is asked "{name}" with key "{key}" for {tokens:d} tokens until it takes it')
+@when('{box} is asked "{name}" with key "{key}" for {tokens:d} tokens until it accepts it')
 def send_until_taken(context, name, key, tokens, box):
     def taken():
         send(context, "clause question", name, box, tokens, _key(key))
@@ -62,12 +62,12 @@
     context.fleet.store.switch(lose_answers=count)
 
 
-@when("the key-value service is out")
+@when("the key-value service is down")
 def outage(context):
     context.fleet.store.switch(outage=True)
 
 
-@when("the key-value service is back")
+@when("the key-value service is up again")
 def back(context):
     context.fleet.store.switch(outage=False)
 
@@ -105,7 +105,7 @@
     assert len(calls) == count, calls
 
 
-@when("both engines take requests and never answer")
+@when("both engines accept requests and never respond")
 def silent(context):
     for engine in context.fleet.engines.values():
         engine.switch(silent=True)
--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -1,4 +1,4 @@
-"""Steps of operators at the table."""
+"""Steps for operators' edits of the table."""
 
 import json
 import threading
@@ -36,7 +36,7 @@
 
 @when(
     "operators set default {knob} to {one:g} through {first} and to {two:g} through {second}, "
-    "having seen {seen:d}"
+    "based on revision {seen:d}"
 )
 def race_same(context, knob, one, two, first, second, seen):
     _edit_both(context, [(first, knob, one, seen), (second, knob, two, seen)])
@@ -60,7 +60,7 @@
     context.edits = [_edit(context, box, knob, json.loads(value), token="guess")]
 
 
-@then("one edit is accepted and the other is told of the conflict")
+@then("one edit is accepted and the other is rejected as a conflict")
 def one_accepted(context):
     results = sorted(body["result"] for _, body in context.edits)
     assert results == ["accepted", "conflict"], context.edits
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -1,4 +1,4 @@
-"""A caller in a thread of its own."""
+"""A caller that reads a streamed response in its own thread."""
 
 import hashlib
 import http.client
@@ -19,7 +19,7 @@
 
 
 def prompt_of(tokens: int, label: str) -> str:
-    """Return a prompt of so many tokens that differs from those of other labels."""
+    """Return a prompt of a length in tokens; different labels give different prompts."""
     text = f"{label} " + "word " * tokens
     return text[: tokens * _BYTES_PER_TOKEN]
 
@@ -31,7 +31,7 @@
 
 @dataclass(repr=False)
 class Answer:
-    """What the caller got."""
+    """The response that a caller received, as far as it arrived."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -51,7 +51,10 @@
 
 
 class Call:
-    """One streamed completion under way."""
+    """A streamed completion in progress.
+
+    If `read` is false, the body is read only when `result` is called.
+    """
 
     def __init__(
         self,
@@ -87,7 +90,7 @@
         assert self.first.is_set(), f"no first token: {self.answer}"
 
     def hang_up(self) -> None:
-        # The reading thread forgets the socket as soon as it is shut down.
+        # The reading thread drops its socket once it is shut down, so keep a reference.
         sock = self.conn.sock
         if sock is not None:
             sock.shutdown(socket.SHUT_RDWR)
@@ -131,7 +134,7 @@
 
 
 def post(port: int, path: str, body: object, headers: dict[str, str] | None = None) -> Answer:
-    """Make a call that is not streamed."""
+    """Send a request that is not streamed and return its response."""
     conn = http.client.HTTPConnection("127.0.0.1", port, timeout=60)
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
     conn.request("POST", path, raw, {"content-type": "application/json", **(headers or {})})
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -44,7 +44,7 @@
 
 
 class Fleet:
-    """Everything that a scenario has started."""
+    """All processes that a scenario has started."""
 
     def __init__(self, intervals: str = FAST_INTERVALS) -> None:
         self._intervals = intervals
@@ -101,7 +101,7 @@
         return self.boxes[name]
 
     def _interval_settings(self) -> str:
-        """Return the sections of the intervals, with the addresses in their places."""
+        """Return the settings sections with intervals, with the addresses filled in."""
         ports = "[peers]\nport = 0\n"
         store = self.store.url.removeprefix("http://")
         urls = f"[platform]\nstore = {store}\ndirectory_url = {self.boxlist.url}\n"
@@ -109,7 +109,7 @@
         return text.replace("[platform]\n", urls)
 
     def publish(self) -> None:
-        """Write the lists of boxes and targets as they are now."""
+        """Publish the current lists of boxes and targets."""
         boxes = [
             {
                 "name": name,
@@ -147,13 +147,13 @@
             wait_for(f"{name} to know its peers and targets", lambda b=box: knows_all(b))
 
     def free_tokens(self, engine: str) -> int:
-        """Return an engine's free memory, counted from its sessions and not from its report."""
+        """Return an engine's free memory, computed from its sessions instead of its report."""
         rows = http_json("GET", f"{self.engines[engine].url}/sessions")["sessions"]
         used = sum(row["memory_tokens"] for row in rows if row["running"])
         return self._engine_rows[engine]["memory_tokens"] - used
 
     def runs(self) -> list[str]:
-        """Return the ids of all sessions that live engines have started."""
+        """Return the ids of all sessions started by engines that are still alive."""
         return [
             run
             for engine in self.engines.values()
--- a/features/support/processes.py
+++ b/features/support/processes.py
@@ -1,4 +1,4 @@
-"""Start and stop the processes of a scenario, and wait for conditions with a bound."""
+"""Processes of a scenario, HTTP calls to them, and waiting for conditions with a timeout."""
 
 import contextlib
 import json
@@ -17,26 +17,32 @@
 
 
 def wait_for(what: str, condition: Callable[[], T], wait_s: float = WAIT_S) -> T:
-    """Return the first true value of `condition`; fail if there is none in time."""
+    """Poll `condition` and return its first true value.
+
+    Raises
+    ------
+    AssertionError
+        After `wait_s` seconds, with `what` in its message.
+    """
     end_s = time.monotonic() + wait_s
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > end_s:
-            raise AssertionError(f"waited {wait_s:g} s in vain for {what}")
+            raise AssertionError(f"timed out after {wait_s:g} s waiting for {what}")
         time.sleep(_STEP_S)
 
 
 def http_json(method: str, url: str, body: object = None) -> dict:
-    """Make a call and return its decoded answer, whatever the status."""
+    """Make an HTTP call and return its decoded response, whatever its status is."""
     return call_json(method, url, body)[1]
 
 
 def call_json(
     method: str, url: str, body: object = None, headers: dict[str, str] | None = None
 ) -> tuple[int, dict]:
-    """Make a call and return its status and decoded answer."""
+    """Make an HTTP call and return the status and the decoded response."""
     data = None if body is None else json.dumps(body).encode()
     sent = {"content-type": "application/json", **(headers or {})}
     call = urllib.request.Request(url, data, sent, method=method)
@@ -48,7 +54,7 @@
 
 
 class Process:
-    """A process of the scenario and its log."""
+    """A process of the scenario, with its standard output and its log."""
 
     def __init__(self, name: str, arguments: list[str], directory: Path):
         self.name = name
@@ -85,7 +91,7 @@
 
 
 class Standin(Process):
-    """A stand-in program, which prints its port."""
+    """A stand-in program, which prints its port on the first line of its output."""
 
     def __init__(self, kind: str, name: str, flags: list[str], directory: Path):
         super().__init__(name, [f"gladedrum.standins.{kind}", *flags], directory)
@@ -103,7 +109,7 @@
 
 
 class BoxProcess(Process):
-    """A box, whose ports are read from its log."""
+    """A box; its ports are read from its log."""
 
     def __init__(self, name: str, settings: str, directory: Path):
         path = directory / f"{name}.ini"
--- a/features/support/sending.py
+++ b/features/support/sending.py
@@ -1,4 +1,4 @@
-"""Sending of requests for a scenario."""
+"""Sending of a scenario's requests."""
 
 from .caller import CLAUSE_TOKENS, DOSSIER_TOKENS, LONG_DOSSIER_TOKENS, Call, prompt_of
 
@@ -12,7 +12,7 @@
 
 
 def send(context, kind, name, box, max_tokens=8, headers=None, read=True):
-    """Send a prompt; those with an idempotency key are the same for the same key."""
+    """Send a prompt of a kind; requests with the same idempotency key have the same prompt."""
     port = context.fleet.boxes[context.aliases.get(box, box)].port("callers")
     label = (headers or {}).get("Idempotency-Key", name)
     prompt = prompt_of(_LENGTHS[kind], label)
--- a/features/table.feature
+++ b/features/table.feature
@@ -1,10 +1,10 @@
-Feature: A change to a cell is a change to the running fleet
-  An accepted change is in force on every box within seconds and never reverts.
+Feature: Edits of the table change the settings of the running fleet
+  An accepted edit is in force on every box within seconds and never reverts.
 
   Scenario: Two operators edit at the same moment, on two boxes
     Given a fleet of 3 boxes and 1 engines
-    When operators set default weight to 2 through box-1 and to 3 through box-2, having seen 0
-    Then one edit is accepted and the other is told of the conflict
+    When operators set default weight to 2 through box-1 and to 3 through box-2, based on revision 0
+    Then one edit is accepted and the other is rejected as a conflict
     When operators set default deadline_s to 50 through box-1 and default retry_share to 0.2 through box-2
     Then both edits are accepted
     And every box has the newest revision in force
@@ -17,17 +17,17 @@
     And the history has 1 edit
     And every box has the newest revision in force
 
-  Scenario: An outage before, and right after, an edit; a box that starts during it
+  Scenario: The key-value service fails after an edit, and a box starts during the outage
     Given a fleet of 2 boxes and 1 engines
     When an operator sets default weight to 5 through box-1
     Then the edit is accepted
-    When the key-value service is out
+    When the key-value service is down
     And an operator sets default weight to 6 through box-1
     Then the edit is not applied
     When a box "box-3" joins
     Then every box has the newest revision in force
 
-  Scenario: A box that was frozen during an edit
+  Scenario: A box that was frozen during an edit catches up
     Given a fleet of 3 boxes and 1 engines
     When box-3 receives SIGSTOP
     And an operator sets default weight to 7 through box-1
@@ -35,7 +35,7 @@
     When box-3 receives SIGCONT
     Then every box has the newest revision in force
 
-  Scenario: A policy is swapped in a running fleet without cutting a request
+  Scenario: The policy of a running fleet changes without interrupting a request
     Given a fleet of 2 boxes and 2 engines
     When a clause question "c" for 1500 tokens is sent to box-1
     And "c" has its first token
@@ -46,7 +46,7 @@
     Then "d" is whole
     And "c" is whole
 
-  Scenario: Wrong cells and a wrong token are refused
+  Scenario: Edits with an invalid value or an invalid token are refused
     Given a fleet of 1 boxes and 1 engines
     When an operator sets default policy to "none_such" through box-1
     Then the edit is refused with status 400
--- a/features/whole_path.feature
+++ b/features/whole_path.feature
@@ -1,5 +1,5 @@
-Feature: A request is served from one end to the other
-  Boxes, targets and the platform are processes of their own.
+Feature: Requests are served end to end
+  Boxes, targets and the platform run as separate processes.
 
   Scenario: A clause question and a dossier through either box
     Given a fleet of 2 boxes and 3 engines
@@ -11,20 +11,20 @@
     And "c2" is whole
     And "d1" is whole
     And "d2" is whole
-    And a call of the service "echo" through box-2 runs once
+    And a call to the service "echo" through box-2 runs once
     And every engine's memory is free again
 
-  Scenario: A span for each hop, from box to box and to the target
+  Scenario: A trace has a span for each hop between boxes and to the target
     Given a fleet of 2 boxes and 2 engines
     When 8 clause questions are sent in turn
-    Then one trace has the spans entry, place and target, and an owner's of another box
+    Then one trace has the spans entry, place and target, and an owner span of another box
 
-  Scenario: An unchanged openai client
+  Scenario: The unmodified openai client works
     Given a fleet of 1 boxes and 1 engines
     When the openai client streams a chat and a completion from box-1
     Then the openai client has both answers whole
 
-  Scenario: Wrong requests are refused with their place
+  Scenario: Invalid requests are refused and the error names the invalid field
     Given a fleet of 1 boxes and 1 engines
     When box-1 is sent each of these wrong requests
       | body                                                    | headers                      | status | place      |
@@ -42,19 +42,19 @@
       | {"model": "standin", "prompt": "x"}                     | {"Gladedrum-Class": "a b"}   | 400    | gladedrum-class |
     Then each is refused with its status and a place
 
-  Scenario: Bodies that are too large, or never arrive
+  Scenario: Bodies that are too large or incomplete are refused
     Given a fleet of 1 boxes and 1 engines
-    And a box "small" takes bodies of 10000 bytes within 1 seconds
+    And a box "small" accepts bodies of 10000 bytes within 1 seconds
     When a body of 20000 bytes is sent to small
     Then it is answered with status 413 and a place
     When a body of 90000 bytes is sent to small
     Then it is answered with status 413 and a place
-    When a body is begun at small and not sent to its end
+    When an incomplete body is sent to small
     Then it is answered with status 408 and a place
     When a clause question "c" is sent to box-1
     Then "c" is whole
 
-  Scenario: A planned stop cuts no request in flight
+  Scenario: A graceful stop interrupts no request in flight
     Given a fleet of 2 boxes and 2 engines
     When a clause question "running" for 400 tokens is sent to box-1
     And "running" has its first token
