--- a/soak/tests/test_promises.py
+++ b/soak/tests/test_promises.py
@@ -43,7 +43,7 @@
     return dataclasses.replace(VALID, **fields)
 
 
-VIOLATIONS = {
+INVALID = {
     "only what was asked runs": changed(notes=[ran("r9")]),
     "runs once": changed(notes=[ran(), ran(target="t2")]),
     "not run is true": changed(requests=[sent_request(status=503, body=b"")], notes=[ran()]),
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("promise", PROMISES)
 def test_a_violation_is_reported_for_its_promise_only(promise):
-    assert [violation.promise for violation in check_all(VIOLATIONS[promise])] == [promise]
+    assert [violation.promise for violation in check_all(INVALID[promise])] == [promise]
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
 )
 def test_a_fault_of_the_box_suspends_promises_with_a_time_bound(promise):
     fault = Incident(98.0, 99.0, "paused", 0, planned=False)
-    history = VIOLATIONS[promise]
+    history = INVALID[promise]
     excused = dataclasses.replace(history, incidents=[*history.incidents, fault])
     assert check_all(excused) == []
     elsewhere = fault._replace(box=1)
