--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -65,7 +65,8 @@
     before_s : float
         Latest predicted time of the first event, by the monotonic clock.
     below_loss : float
-        Upper bound (exclusive) on the expected loss of credit over all requests.
+        Upper bound (exclusive) on the expected loss of worth over all requests, see
+        `scheduling.expected_loss`.
     """
 
     before_s: float = float("inf")
@@ -150,7 +151,7 @@
     target_restarted: bool = False
     appears_lost: bool = False
     _sent_s: float = field(default=float("inf"), init=False)
-    _overdue: IDelayedCall | None = field(default=None, init=False)
+    _overdue_timer: IDelayedCall | None = field(default=None, init=False)
     _has_begun: bool = field(default=False, init=False)
 
     @property
@@ -173,7 +174,7 @@
         The attempt goes on. Without the timer a target that hangs is avoided only after the time
         limit of the route, and never if the request must not run twice.
         """
-        self._overdue = self.ctx.clock.callLater(within_s, self._note_overdue)
+        self._overdue_timer = self.ctx.clock.callLater(within_s, self._note_overdue)
 
     def _note_overdue(self) -> None:
         self.ctx.view.note_outcome(self.target, True, self.ctx.clock.seconds())
@@ -218,8 +219,8 @@
         if self.ended:
             return
         self.ended = True
-        if self._overdue is not None and self._overdue.active():
-            self._overdue.cancel()
+        if self._overdue_timer is not None and self._overdue_timer.active():
+            self._overdue_timer.cancel()
         if self.exchange is not None:
             self.exchange.cancel()
         elif self.retry_grant is not None:
@@ -297,14 +298,14 @@
         work_id = work_id_of(self._ctx.box, next(_work_ids))
         placed = await self._ctx.placer.place(work_id, demand, self.tried)
         if placed is None or isinstance(placed, NoPlacement):
-            return _end_without_place(placed)
+            return _end_without_placement(placed)
         attempt = Attempt(self._ctx, *placed, demand.service.name)
         self._attempts = [other for other in self._attempts if not other.ended] + [attempt]
         try:
             refused = (
                 self._refusal_if_closed()
                 or self._check_bounds(attempt.choice, bounds)
-                or await self._admit(attempt)
+                or await self._acquire(attempt)
                 or self._refusal_if_closed()
             )
         except Exception:
@@ -369,9 +370,9 @@
         self, demand: Demand
     ) -> CondemnedRequest | AllLeave | AllTargetsClosed | None:
         """Return a refusal that this box can give without asking another box."""
-        objection = self._ctx.chooser.suspect_refusal(demand)
-        if isinstance(objection, CondemnedRequest):
-            return objection
+        refusal = self._ctx.chooser.suspect_refusal(demand)
+        if isinstance(refusal, CondemnedRequest):
+            return refusal
         if self._ctx.chooser.all_leave(demand):
             return AllLeave(REPLACEMENT_WAIT_S)
         backoff_s = self._ctx.chooser.all_rest_s(demand)
@@ -380,12 +381,13 @@
     def _check_bounds_locally(self, demand: Demand, bounds: PlacementBounds) -> Refused | None:
         """Check the bounds against a placement from this box's own view.
 
-        A hedge that is rejected here is neither noted in ledgers nor counted as a prompt.
+        A hedge that is rejected here is neither noted in ledgers nor counted as an arrival of a
+        long prompt.
         """
         if bounds is NO_BOUNDS:
             return None
-        quote = self._ctx.chooser.choose(demand, self.tried)
-        return _no_place() if quote is None else self._check_bounds(quote, bounds)
+        choice = self._ctx.chooser.choose(demand, self.tried)
+        return _no_room() if choice is None else self._check_bounds(choice, bounds)
 
     def _check_bounds(self, choice: Choice, bounds: PlacementBounds) -> Refused | None:
         """Return why a placement does not meet the bounds, None if it does."""
@@ -395,9 +397,9 @@
             # The engine would read the prompt twice, which delays the silent answer further.
             return Refused("no other target has room", at_target=False)
         if self._ctx.clock.seconds() + choice.first_event_s > bounds.before_s:
-            return Refused("no target would go on sooner", at_target=False)
+            return Refused("no target would continue sooner", at_target=False)
         if choice.loss >= bounds.below_loss:
-            return Refused("it would cost others more than it keeps", at_target=False)
+            return Refused("it would cost other requests at least its worth", at_target=False)
         return None
 
     async def _take_retry(self, demand: Demand) -> Grant | Refused | OverBudget:
@@ -413,7 +415,7 @@
         if retry_grant is not None:
             self._ctx.repeats.give_back(demand.service.name, retry_grant)
 
-    async def _admit(self, attempt: Attempt) -> Refused | AllTargetsClosed | None:
+    async def _acquire(self, attempt: Attempt) -> Refused | AllTargetsClosed | None:
         """Acquire a slot in the target's rate limit and the memory reservations."""
         wait_s = await self._ctx.rates.take_place(attempt.target)
         if wait_s:
@@ -445,11 +447,11 @@
 
     def _connected_targets(self, demand: Demand) -> frozenset[str]:
         """Return the targets of the service that have an idle connection."""
-        places = self._ctx.pool.idle_addresses(self._fwd.admitted.route.idempotent)
-        if not places:
+        addresses = self._ctx.pool.idle_addresses(self._fwd.admitted.route.idempotent)
+        if not addresses:
             return frozenset()
         usable = self._ctx.targets.usable(demand.service.name)
-        return frozenset(entry.name for entry in usable if (entry.host, entry.port) in places)
+        return frozenset(entry.name for entry in usable if (entry.host, entry.port) in addresses)
 
     def _make_head(self, attempt: Attempt) -> RequestHead:
         """Return the request head for a target; called right before the request is written."""
@@ -488,26 +490,26 @@
 
     def _note_part(self, attempt: Attempt) -> None:
         if self._fwd.times.note_part(self._ctx.clock.seconds()):
-            self._ctx.metrics.first_event_s.observe(self._fwd.times.first_s)
+            self._ctx.metrics.first_event_s.observe(self._fwd.times.first_part_s)
         attempt.note_first_part()
 
 
-def _no_place() -> Refused:
+def _no_room() -> Refused:
     return Refused("no target has room", at_target=False)
 
 
-def _end_without_place(placed: NoPlacement | None) -> AttemptEnd:
+def _end_without_placement(placed: NoPlacement | None) -> AttemptEnd:
     match placed:
         case SuspectOnHold(reason=reason):
             return Refused(reason, at_target=False)
         case CannotServeInTime() | CondemnedRequest() | AllTargetsClosed():
             return placed
         case _:
-            return _no_place()
+            return _no_room()
 
 
 def _helper_addresses(attempt: Attempt) -> tuple[str, ...]:
     """Return the addresses of the helping engines, with the reservation id if there is one."""
-    places = (f"{entry.host}:{entry.port}" for entry in attempt.choice.helpers)
-    ticket = f"/{attempt.plan.work_id}" if attempt.choice.reserved else ""
-    return tuple(f"{place}{ticket}" for place in places)
+    addresses = (f"{entry.host}:{entry.port}" for entry in attempt.choice.helpers)
+    suffix = f"/{attempt.plan.work_id}" if attempt.choice.reserved else ""
+    return tuple(f"{address}{suffix}" for address in addresses)
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -53,10 +53,10 @@
 """Share of `key_bound_s` beyond which the age of the configuration makes the box not ready, so that
 callers go elsewhere before this box has to refuse their keys."""
 
-FAREWELL_S = 0.02
-"""Interval between the two farewells that a stopping box sends to its peers, in seconds. Datagrams
-can be lost or reordered; the interval covers several datagram delays and the store call that
-deletes the box's entry."""
+SHUTDOWN_NOTICE_INTERVAL_S = 0.02
+"""Interval between the two shutdown notices that a stopping box sends to its peers, in seconds.
+Datagrams can be lost or reordered; the interval covers several datagram delays and the store call
+that deletes the box's entry."""
 
 _log = logging.getLogger(__name__)
 
@@ -112,7 +112,7 @@
         self._record = CondemnedRecord(
             reactor, store, self._beliefs.registry, self._suspicion, self._is_reader
         )
-        store.on_restored.append(self._note_era)
+        store.on_restored.append(self._store_restored)
         self._reports = self._make_reports()
         chooser = Chooser(self.name, reactor, self._targets, self._view)
         self._placer = self._make_placer(chooser)
@@ -132,7 +132,8 @@
         """Fails with `CannotListenError` if an address cannot be listened on at the start."""
         return self._ports.cannot_start
 
-    def _note_era(self, _before: int, era: int) -> None:
+    def _store_restored(self, _before: int, era: int) -> None:
+        """Handle that the store was restored from a copy, which starts a new era."""
         self._record.note_store_restored()
         self.metrics.store_era.set(era)
         self.metrics.store_returns.inc()
@@ -154,6 +155,7 @@
         return port
 
     def _is_reader(self) -> bool:
+        """Whether this box reads the store for the other boxes."""
         return not self._beliefs.coordinators.follows_readers()
 
     def _make_rates(self) -> TargetRates:
@@ -263,14 +265,14 @@
         return start(self._drain())
 
     def reload(self, cfg: Settings) -> None:
-        """Apply changed settings; changed addresses take effect at the next start."""
+        """Apply changed settings, except addresses, which require a restart."""
         before, now = self._settings, forward_settings(cfg)
         changed = [name for name in now._fields if getattr(now, name) != getattr(before, name)]
         if not changed:
             return
         _log.info("settings in force", extra={"changed": changed})
         if {"callers", "ready", "peers"} & set(changed):
-            _log.warning("an address has changed; it takes effect at the next start")
+            _log.warning("an address has changed; restart to apply")
         self._settings = now
         self._ctx.admission.set_key_bound(now.key_bound_s, now.keys_expire)
         self._beliefs.set_bounds(now)
@@ -282,11 +284,11 @@
     def not_ready(self) -> list[str]:
         """Return why callers should not be sent to this box, empty if it is ready."""
         settings = self._settings
-        most_s = READY_AGE_SHARE * settings.key_bound_s if settings.keys_expire else float("inf")
+        max_age_s = READY_AGE_SHARE * settings.key_bound_s if settings.keys_expire else float("inf")
         reasons = {
             "the box is draining": self._draining,
             "no configuration is known": self._configuration.table is None,
-            "the configuration is old": self._configuration.age_s > most_s,
+            "the configuration is old": self._configuration.age_s > max_age_s,
             "the list of targets has not been read": not self._targets.entries,
             "callers are not listened for": not self._ports.accepts_callers,
         }
@@ -294,20 +296,22 @@
 
     async def _drain(self) -> None:
         if not self._beliefs.coordinators.is_whole_fleet:
-            # A box joins the coordinator group and learns all work while this one still serves.
+            # Another box takes its place in the coordinator group, and learns of all work in
+            # progress while this one still serves.
             self._leave()
         await drain_callers(
             self._reactor, self._callers, self._ports.close_callers, self._settings.stop_s
         )
-        # A box that starts meanwhile in a small fleet finds this one only by its entry.
+        # In a small fleet the entry is kept until now: boxes that started during the drain have
+        # found this one only by its entry in the store.
         self._leave()
         self._gossip.announce_shutdown()
-        await sleep(self._reactor, FAREWELL_S)
+        await sleep(self._reactor, SHUTDOWN_NOTICE_INTERVAL_S)
         self._gossip.announce_shutdown()
         _log.info("drained", extra={"in_flight": len(self._in_flight)})
 
     def _leave(self) -> None:
-        start(self._beliefs.registry.leave()).addErrback(_log_task_failure)
+        start(self._beliefs.registry.leave()).addErrback(_log_leave_failure)
 
     def _make_supervisor(self) -> Supervisor:
         children = [
@@ -402,9 +406,10 @@
         )
 
     async def _table_states(self) -> list[TableState]:
+        """Return the state of the table at this box; the states of other boxes are not known."""
         table = self._beliefs.table
         return [TableState(box=self.name, revision=table.table.revision, age_s=table.age_s)]
 
 
-def _log_task_failure(failure) -> None:
-    _log.error("task failed", extra={"reason": failure.getTraceback()})
+def _log_leave_failure(failure) -> None:
+    _log.error("removing the registry entry failed", extra={"reason": failure.getTraceback()})
--- a/gladedrum/forward/drain.py
+++ b/gladedrum/forward/drain.py
@@ -11,13 +11,14 @@
 
 __all__ = ["drain_callers"]
 
-ACCEPT_ON_S = 2.6
+KEEP_ACCEPTING_S = 2.6
 """How long a stopping box still accepts connections, in seconds: the balancer polls once a second
 and removes a box after two failures. It may keep using this box if few others are left, but
 requests accepted later might not finish before the process is killed."""
 
 STOP_MARGIN_S = 0.6
-"""How long before the process would be killed a planned stop ends, in seconds."""
+"""Time between the end of a planned stop and the latest time at which the process is killed, in
+seconds."""
 
 _log = logging.getLogger(__name__)
 
@@ -42,7 +43,7 @@
     """
     deadline_s = clock.seconds() + stop_s - STOP_MARGIN_S
     callers.draining = True
-    await sleep(clock, min(ACCEPT_ON_S, deadline_s - clock.seconds()))
+    await sleep(clock, min(KEEP_ACCEPTING_S, deadline_s - clock.seconds()))
     stop_listening()
     callers.close_idle()
     if callers.connections:
--- a/gladedrum/forward/hedging.py
+++ b/gladedrum/forward/hedging.py
@@ -62,7 +62,7 @@
         A monotonic clock.
     mailbox : Mailbox
         Receives the messages of the caller's and the targets' connections.
-    until_s : float
+    deadline_s : float
         When the request times out, by the monotonic clock.
     first : Attempt
         The first attempt, already sent.
@@ -97,10 +97,10 @@
     def on_target_restarted(self, name: str) -> None:
         """Search for a hedge at once if an attempt ran on a target that has restarted."""
         now_s = self.clock.seconds()
-        lost = [attempt for attempt in self._attempts if attempt.note_restart(name, now_s)]
-        for attempt in lost:
+        affected = [attempt for attempt in self._attempts if attempt.note_restart(name, now_s)]
+        for attempt in affected:
             attempt.relay.next_check_s = min(attempt.relay.next_check_s, now_s)
-        if lost:
+        if affected:
             self.mailbox.put(TimedOut())
 
     async def run(self) -> AttemptEnd:
@@ -125,7 +125,9 @@
     # Messages of the targets' connections.
 
     def _handle_answer(self, message: Message) -> AttemptEnd | None:
-        attempt = next((t for t in self._attempts if t.exchange.attempt == message.attempt), None)
+        attempt = next(
+            (other for other in self._attempts if other.exchange.attempt == message.attempt), None
+        )
         if attempt is None:
             return None
         attempt.relay.made_progress = False
--- a/gladedrum/forward/identity.py
+++ b/gladedrum/forward/identity.py
@@ -7,14 +7,16 @@
 __all__ = ["DIGEST_BYTES", "request_digest"]
 
 DIGEST_BYTES = 16
-"""Length of a digest, in bytes; finding two requests with equal digests takes about 2**64 tries."""
+"""Length of a digest, in bytes; finding two requests with equal digests takes about 2**64
+hash computations."""
 
 
 def request_digest(req: CallerRequest, organisation: str) -> bytes:
     """Return the digest of a request's content and organisation.
 
-    Leaves out headers that differ between repeats, such as the request id and the time left. Each
-    part is preceded by its length, so that bytes cannot be moved from one part to the next.
+    Leaves out headers that differ when a caller sends the request again, such as the request id and
+    the time left. Each part is preceded by its length, so that bytes cannot be moved from one part
+    to the next.
 
     Parameters
     ----------
--- a/gladedrum/forward/pages.py
+++ b/gladedrum/forward/pages.py
@@ -1,6 +1,7 @@
-"""The operators' pages of a box: readiness, metrics, condemned requests, statements, the table.
+"""The operators' pages of a box: readiness, metrics, condemned requests, statements, table.
 
-The library behind the table's pages is slow to load, so these pages are created on first request.
+The table is that of weights and limits, see `gladedrum.table`. The library behind its pages is slow
+to load, so they are created on first request.
 """
 
 from collections.abc import Callable
@@ -41,7 +42,7 @@
 
 
 class _MetricsPage(Resource):
-    """Answers the metrics in the text format of Prometheus."""
+    """Serves the metrics in the text format of Prometheus."""
 
     isLeaf = True
 
@@ -72,8 +73,6 @@
 
 
 class _Pages(Resource):
-    """The root; makes the table's pages when they are first asked for."""
-
     """The root page; creates the pages of the table on their first request."""
 
     def __init__(self, make_table_site: Callable[[], "TableSite"]):
--- a/gladedrum/forward/ports.py
+++ b/gladedrum/forward/ports.py
@@ -22,7 +22,7 @@
 in seconds: half of a caller's connect timeout."""
 
 INFORMED_CHECK_S = 0.005
-"""Interval between checks for them, in seconds."""
+"""Interval between checks whether a starting box knows both, in seconds."""
 
 
 class BoxPorts:
@@ -70,7 +70,7 @@
         self._make_pages = make_pages
         self._is_informed = is_informed
         self._caller_port = Listener("callers", self._listen_callers, self._cannot_listen)
-        self._ready_port = Listener("readiness", self._listen_ready, self._cannot_listen)
+        self._pages_port = Listener("readiness", self._listen_pages, self._cannot_listen)
 
     @property
     def accepts_callers(self) -> bool:
@@ -83,7 +83,7 @@
 
     def pages_child(self) -> Child:
         """Return the child that serves the operators' pages."""
-        return Child("readiness", self._ready_port.run)
+        return Child("readiness", self._pages_port.run)
 
     def gossip_child(self) -> Child:
         """Return the child that receives datagrams of other boxes."""
@@ -106,8 +106,8 @@
 
         Until then connections wait in the kernel's backlog instead of being refused.
         """
-        give_up_s = self._reactor.seconds() + INFORMED_WITHIN_S
-        while not self._is_informed() and self._reactor.seconds() < give_up_s:
+        deadline_s = self._reactor.seconds() + INFORMED_WITHIN_S
+        while not self._is_informed() and self._reactor.seconds() < deadline_s:
             await sleep(self._reactor, INFORMED_CHECK_S)
         await self._caller_port.run()
 
@@ -122,7 +122,7 @@
             )
         return defer.succeed(port)
 
-    def _listen_ready(self):
+    def _listen_pages(self):
         site = Site(self._make_pages())
         site.noisy = False
         return self._listen(self._settings().ready, site)
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -41,17 +41,17 @@
 __all__ = ["CallerGoneError", "EventRelay", "Relay", "WholeRelay", "caller_timeout_s"]
 
 PLAIN_SILENCE_FACTOR, PLAIN_SILENCE_MIN_S = 3.0, 0.5
-"""An idempotent plain request is hedged after this multiple of its objective, but not before so
-many seconds."""
+"""An idempotent plain request is hedged after `PLAIN_SILENCE_FACTOR` times its objective, but
+not before `PLAIN_SILENCE_MIN_S`."""
 
 FIRST_EVENT_FACTOR, FIRST_EVENT_MARGIN_S = 1.3, 0.4
-"""The first event of a resumable stream is late after this multiple of its predicted time plus so
-many seconds. The stream is then hedged if the target sends no reports or its report shows that it
-does not hold the request."""
+"""The first event of a resumable stream is late after `FIRST_EVENT_FACTOR` times its predicted
+time plus `FIRST_EVENT_MARGIN_S`. The stream is then hedged if the target sends no
+reports or its report shows that it does not hold the request."""
 
 PAUSE_FACTOR, PAUSE_MARGIN_S = 3.0, 0.4
-"""A pause in a resumable stream is too long after this multiple of the route's pause objective plus
-so many seconds. The stream is then hedged under the same conditions."""
+"""A pause in a resumable stream is too long after `PAUSE_FACTOR` times the route's pause objective
+plus `PAUSE_MARGIN_S`. The stream is then hedged under the same conditions."""
 
 LATEST_HEDGE_SHARE = 0.7
 """A late stream of a target that still reports is hedged only after this share of the caller's
@@ -275,11 +275,11 @@
     def _finish(self) -> AttemptEnd:
         if self._head.status != HTTPStatus.OK:
             return FailedAnswer(self._head, b"".join(self._failure))
-        rest = self._splitter.rest
-        if rest and not _is_framed(self._head):
+        remainder = self._splitter.rest
+        if remainder and not _is_framed(self._head):
             return Lost("the stream ends within an event")
         self._note_progress()
-        self.answer.send(rest)
+        self.answer.send(remainder)
         self.answer.end()
         return Done(Completed())
 
@@ -303,5 +303,6 @@
 
 
 def _is_framed(head: AnswerHead) -> bool:
+    """Whether HTTP marks the end of the body, so that a closed connection is not taken for it."""
     names = {name for name, _ in head.headers}
     return bool(names & {b"content-length", b"transfer-encoding"})
--- a/gladedrum/forward/request_log.py
+++ b/gladedrum/forward/request_log.py
@@ -68,7 +68,7 @@
 ) -> None:
     """Log an attempt that did not complete the request.
 
-    `begun` tells whether the caller has got the head. `digest` identifies repeats of the same
+    `begun` tells whether the head was sent to the caller. `digest` identifies repeats of the same
     request by callers. The report's age and `reads_on_s` tell a target that is busy reading
     prompts from one that has failed.
     """
@@ -121,7 +121,7 @@
     took_s = ctx.clock.seconds() - req.arrived_s
     ctx.metrics.outcomes.labels(name).inc()
     ctx.metrics.took_s.labels(name).observe(took_s)
-    if times.first_s is not None:
+    if times.first_part_s is not None:
         ctx.metrics.longest_pause_s.observe(times.longest_pause_s)
     _log.info(
         "request ended",
@@ -134,11 +134,11 @@
             "data_hall": ctx.data_hall,
             "prompt_tokens": demand.prompt_tokens if demand else 0,
             "offers": attempt_count,
-            "offered_s": _round_s(times.offered_s),
+            "offered_s": _round_s(times.first_attempt_s),
             "took_s": round(took_s, 3),
-            "first_event_s": _round_s(times.first_s),
+            "first_event_s": _round_s(times.first_part_s),
             "longest_pause_s": round(times.longest_pause_s, 3),
-            "pause_began_s": round(times.longest_began_s, 3),
+            "pause_began_s": round(times.longest_pause_began_s, 3),
         },
     )
 
--- a/gladedrum/forward/request_task.py
+++ b/gladedrum/forward/request_task.py
@@ -48,7 +48,7 @@
 
 __all__ = ["RequestTask", "start_request"]
 
-NO_PLACE_PAUSE_S = 0.06
+NO_ROOM_PAUSE_S = 0.06
 """Pause before the request is placed again after no target had room, in seconds."""
 
 RETRY_AFTER_S = 0.25
@@ -59,10 +59,10 @@
 can still be served in time by another box."""
 
 RETRY_AFTER_SPREAD = 1.5
-"""Upper end of the random factor on the Retry-After of callers that no target takes now."""
+"""Maximum random factor on the Retry-After of refusals when all targets are closed or leaving."""
 
 MAX_WITHHELD = 3
-"""Maximum number of attempts withheld before they are sent; then the request is refused."""
+"""Maximum number of attempts that are withheld (see `Withheld`); then the request is refused."""
 
 MAX_ATTEMPTS = 6
 """Maximum number of attempts per request, refused ones included."""
@@ -204,7 +204,7 @@
         prompt = metadata.prompt_tokens if engine is not None else 0
         answer = _likely_answer_tokens(metadata, engine) if engine is not None else 0
         first_due_s = self._req.arrived_s + route.objective_s
-        owner = admitted.organisation.name if admitted.organisation else ""
+        organisation = admitted.organisation.name if admitted.organisation else ""
         return Demand(
             service,
             prompt,
@@ -212,12 +212,12 @@
             first_due_s,
             route.pause_objective_s,
             self._ctx.data_hall,
-            self._ctx.policy_of(owner, route.name),
+            self._ctx.policy_of(organisation, route.name),
             self._lost_at_s(route, answer, engine),
         )
 
     def _lost_at_s(self, route: Route, answer_tokens: int, engine: EngineTraits | None) -> float:
-        """Return until when the first event has to come, by the monotonic clock."""
+        """Return the latest useful time of the first event, by the monotonic clock."""
         writing_s = answer_tokens * engine.step_s if engine is not None else 0.0
         timeout_s = caller_timeout_s(route) if route.streaming else float("inf")
         return min(self._deadline_s - writing_s, self._req.arrived_s + timeout_s)
@@ -244,7 +244,7 @@
     def attempt_ended(self, ended: Attempt, end: AttemptEnd) -> None:
         """End an attempt and log its failure.
 
-        If a helping engine is at fault, the verdict is recorded against it, not against the target.
+        If a helping engine is at fault, the failure is recorded for it, not for the target.
         """
         if not isinstance(end, Done):
             begun = self._answer.begun
@@ -279,8 +279,8 @@
             organisation = admitted.organisation.name if admitted.organisation else ""
             suspicion.note_lost(self._digest, names, admitted.route.name, organisation)
             if self._demand.service.engine is None:
-                place = (ended.choice.main.host, ended.choice.main.port)
-                listening = partial(self._ctx.pool.is_listening, place)
+                address = (ended.choice.main.host, ended.choice.main.port)
+                listening = partial(self._ctx.pool.is_listening, address)
                 start(suspicion.check(ended.target, listening)).addErrback(_log_call_failure)
         elif isinstance(end, Done | FailedAnswer) and suspicion.is_watching:
             suspicion.note_served(self._digest)
@@ -313,8 +313,8 @@
         """Return the bounds on a hedge: its first event must come before the caller leaves.
 
         A target that is known to be reading prompts will answer by itself. Its hedge must be
-        faster, and cost less than the request is worth: hedges would else use up the retry budget
-        and delay new requests on free engines.
+        faster, and cost less than the request is worth: otherwise hedges would use up the retry
+        budget and delay new requests on free engines.
         """
         if not self.is_silence_explained(silent):
             return PlacementBounds(self._caller_leaves_s())
@@ -412,15 +412,17 @@
                 return self._give_up(reason) if is_over else None
             case Refused(reason=reason):
                 waited_s = self._now_s() - self._req.arrived_s
-                no_place = not end.at_target and waited_s > MAX_WAIT_SHARE * route.objective_s
+                waited_too_long = (
+                    not end.at_target and waited_s > MAX_WAIT_SHARE * route.objective_s
+                )
                 if (
-                    no_place
+                    waited_too_long
                     or self._attempt_count >= MAX_ATTEMPTS
                     or self._now_s() >= self._deadline_s
                 ):
                     return self._give_up(reason)
                 if not end.at_target:
-                    await self._pause(NO_PLACE_PAUSE_S)
+                    await self._pause(NO_ROOM_PAUSE_S)
                 return None
             case Lost(reason=reason):
                 return None if self._may_run_again() else self._answer.fail(Unknown(reason))
@@ -430,8 +432,8 @@
 
     async def _wait_or_refuse(self, come_back_s: float) -> Outcome | None:
         """Wait if a target takes requests again soon, else refuse the request."""
-        held_until_s = self._req.arrived_s + MAX_WAIT_SHARE * self._admitted.route.objective_s
-        if self._now_s() + come_back_s <= held_until_s:
+        wait_until_s = self._req.arrived_s + MAX_WAIT_SHARE * self._admitted.route.objective_s
+        if self._now_s() + come_back_s <= wait_until_s:
             await self._pause(come_back_s)
             return None
         self._ctx.metrics.places.labels("none").inc()
@@ -495,8 +497,8 @@
     """Return the helping engine that caused a refusal, None if there is none."""
     if not isinstance(end, Refused) or not end.at_fault:
         return None
-    places = {f"{entry.host}:{entry.port}": entry.name for entry in choice.helpers}
-    name = places.get(end.at_fault, end.at_fault)
+    names = {f"{entry.host}:{entry.port}": entry.name for entry in choice.helpers}
+    name = names.get(end.at_fault, end.at_fault)
     return name if name in {entry.name for entry in choice.helpers} else None
 
 
--- a/gladedrum/forward/reservations.py
+++ b/gladedrum/forward/reservations.py
@@ -1,7 +1,7 @@
 """Memory reservations on engines that read a part of a prompt: acquire, renew and release.
 
-A reservation is held for a limited time and renewed until it is released. It lapses by itself if
-this box dies.
+A reservation is held for a limited time and renewed until it is released. It expires if this box
+dies.
 """
 
 import logging
@@ -28,15 +28,15 @@
 """Time until a renewal, as a share of the hold time: leaves room for two failed renewals."""
 
 RENEW_RETRY_S = 0.2
-"""Pause after a failed renewal, in seconds: short enough for two more before the memory lapses and
-the engine cuts the request off."""
+"""Pause after a failed renewal, in seconds: short enough for two more before the reservation
+expires and the engine aborts the request."""
 
 CALL_TIMEOUT_S = 0.6
 """Timeout of a reservation call, in seconds."""
 
 MIN_RENEWAL_LEAD_S = 2 * (CALL_TIMEOUT_S + RENEW_RETRY_S)
-"""Latest time of a renewal that is delayed by a requested backoff, in seconds before the memory
-lapses: leaves room for one failed renewal."""
+"""Latest time of a renewal that is delayed by a requested backoff, in seconds before the
+reservation expires: leaves room for one failed renewal."""
 
 RELEASE_ATTEMPTS = 4
 
@@ -52,7 +52,7 @@
         A monotonic clock.
     pool : TargetPool
         Connections to targets.
-    name : str
+    reservation_id : str
         The id of the reservations, unique to the attempt.
     engines : sequence of TargetEntry
         The engines to reserve memory on.
@@ -73,7 +73,7 @@
         self,
         clock: IReactorTime,
         pool: TargetPool,
-        name: str,
+        reservation_id: str,
         engines: Sequence[TargetEntry],
         tokens: int,
         free_bound_s: float,
@@ -81,7 +81,7 @@
         start_of: Callable[[str], int] = lambda _name: 0,
         backoff_of: Callable[[str], float] = lambda _name: 0.0,
     ):
-        self.name = name
+        self.reservation_id = reservation_id
         self._clock = clock
         self._pool = pool
         self._engines = engines
@@ -104,13 +104,13 @@
         if refused:
             self.release()
         elif not self._released:
-            self._renewing = [start(self._renew(entry)) for entry in self._engines]
+            self._renewing = [start(self._keep_renewed(entry)) for entry in self._engines]
             for task in self._renewing:
                 task.addErrback(_log_failure)
         return refused
 
     def release(self) -> None:
-        """Release all reservations; retries in the background until they are released or lapse."""
+        """Release all reservations; retries in the background until they are released or expire."""
         if self._released:
             return
         self._released = True
@@ -122,16 +122,16 @@
 
     async def _reserve(self, entry: TargetEntry, kind: CallKind) -> CallAnswer | None:
         """Make or renew a reservation; return the engine's answer, None if it failed."""
-        lapses_s = self._clock.seconds() + self._hold_s
+        expires_s = self._clock.seconds() + self._hold_s
         try:
-            call = reserve_call(self.name, self._tokens, self._hold_s, kind)
+            call = reserve_call(self.reservation_id, self._tokens, self._hold_s, kind)
             answer = await call_target(self._clock, self._pool, entry, call, CALL_TIMEOUT_S)
         except TargetBrokenError as exc:
             _log.info("reservation call failed", extra={"target": entry.name, "reason": str(exc)})
             return None
         if not answer.ok:
             return None
-        self._held_until_s[entry.name] = lapses_s
+        self._held_until_s[entry.name] = expires_s
         return answer
 
     async def _reserve_first(self, entry: TargetEntry) -> bool:
@@ -141,7 +141,7 @@
             self._starts[entry.name] = decode_start_time(answer.body) or self._starts[entry.name]
         return answer is not None
 
-    async def _reserve_again(self, entry: TargetEntry) -> bool:
+    async def _renew_once(self, entry: TargetEntry) -> bool:
         """Renew a reservation; release it at once if a later start of the engine has made it."""
         answer = await self._reserve(entry, CallKind.RENEW)
         if answer is None:
@@ -156,11 +156,11 @@
         is_later_known = 0 < self._starts[entry.name] < self._start_of(entry.name)
         return is_later_known or entry.name in self._superseded
 
-    async def _renew(self, entry: TargetEntry) -> None:
+    async def _keep_renewed(self, entry: TargetEntry) -> None:
         """Keep one engine's reservation renewed, independently of the other engines."""
         await self._pause(entry, RENEW_SHARE * self._hold_s)
         while not self._has_restarted(entry):
-            renewed = await self._reserve_again(entry)
+            renewed = await self._renew_once(entry)
             await self._pause(entry, RENEW_SHARE * self._hold_s if renewed else RENEW_RETRY_S)
 
     async def _pause(self, entry: TargetEntry, pause_s: float) -> None:
@@ -172,7 +172,7 @@
             await sleep(self._clock, delay_s)
 
     async def _release(self, entry: TargetEntry) -> None:
-        call = release_call(self.name)
+        call = release_call(self.reservation_id)
         for _ in range(RELEASE_ATTEMPTS):
             if not await self._wait_out_backoff(entry):
                 return
@@ -184,7 +184,7 @@
             await sleep(self._clock, CALL_TIMEOUT_S)
 
     async def _wait_out_backoff(self, entry: TargetEntry) -> bool:
-        """Wait until the engine may be called again; return False if the memory lapses first."""
+        """Wait until the engine may be called again; return False if the hold expires first."""
         backoff_s, now_s = self._backoff_of(entry.name), self._clock.seconds()
         if not backoff_s:
             return True
--- a/gladedrum/forward/settings.py
+++ b/gladedrum/forward/settings.py
@@ -92,9 +92,9 @@
 class ForwardSettings(NamedTuple):
     """The values of the section, with times in seconds and parsed addresses.
 
-    Attributes have the names and meanings of the settings. In addition, `capacity` is in cores,
-    `seeds` excludes this box, and `waits_for_seeds` is true if the fleet starts for the first time
-    and this box is not a seed.
+    Attributes have the names and meanings of the settings. In addition, `capacity` is the
+    number of cores that this box may use (0: not known), `seeds` excludes this box, and
+    `waits_for_seeds` is true if the fleet starts for the first time and this box is not a seed.
     """
 
     callers: tuple[str, int]
--- a/gladedrum/forward/statements_page.py
+++ b/gladedrum/forward/statements_page.py
@@ -26,7 +26,7 @@
         self._get_rows = get_rows
 
     def render_GET(self, request: Request) -> bytes:
-        """Answer the statements."""
+        """Return the statements."""
         request.setResponseCode(HTTPStatus.OK)
         request.setHeader(b"content-type", b"application/json")
         return json.dumps(self._get_rows()).encode()
--- a/gladedrum/forward/tests/crashing_fleet.py
+++ b/gladedrum/forward/tests/crashing_fleet.py
@@ -156,7 +156,7 @@
         )
 
     def _report_readers(self, name: str, box: World) -> list[str]:
-        """Return the running members of the circle, which read reports."""
+        """Return the running members of the coordinator group, which read reports."""
         if name not in self.boxes:
             return []
         return [member for member in box.coordinators.members() if member in self.boxes]
--- a/gladedrum/forward/tests/rate_limiting_fleet.py
+++ b/gladedrum/forward/tests/rate_limiting_fleet.py
@@ -1,7 +1,7 @@
 """A fleet whose engines state the request rate that they accept, in virtual time.
 
 Each arrival at an engine is recorded with the box that sent it: requests, report requests and
-reservation orders. Rates are checked on arrivals from boxes that know of the rate.
+reservation calls. Rates are checked on arrivals from boxes that know of the rate.
 """
 
 import random
--- a/gladedrum/forward/tests/statement_fleet.py
+++ b/gladedrum/forward/tests/statement_fleet.py
@@ -39,9 +39,9 @@
 
     # Interface for tests.
 
-    def announce_leaving(self, port: int, word: bytes = b"1") -> None:
-        """Have a target announce in all answers that it leaves; `word` is the header's value."""
-        self.leaving[port] = word
+    def announce_leaving(self, port: int, value: bytes = b"1") -> None:
+        """Have a target announce in all answers that it leaves; `value` is the header's."""
+        self.leaving[port] = value
 
     def refuse_with_backoff(self, port: int, backoff: bytes, boxes: tuple[str, ...] = ()) -> None:
         """Have a target refuse requests of boxes (default: all) with this Retry-After value."""
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -224,8 +224,8 @@
     def table(self, engine=None, version=1, keys=(KEY,), **route) -> RouteTable:
         fields = {"anonymous": False, "time_limit_s": 5.0, "objective_s": 0.3, **route}
         row = Route("r", "a.example", "/x/", (ServiceShare("s", 1.0),), **fields)
-        owners = {key: Organisation("org", None) for key in keys}
-        return RouteTable(version, (row,), {"s": Service("s", engine)}, owners)
+        organisations = {key: Organisation("org", None) for key in keys}
+        return RouteTable(version, (row,), {"s": Service("s", engine)}, organisations)
 
     def confirm_configuration(self, table: RouteTable | None = None) -> None:
         self.configuration._apply(table)
@@ -345,10 +345,12 @@
     return answer(status, b"no", extra=b"%s: 1\r\n" % wire.NOT_RUN)
 
 
-def stream_head(extra: bytes = b"Transfer-Encoding: chunked\r\n", seal: bytes = b"seal-1") -> bytes:
+def stream_head(
+    extra: bytes = b"Transfer-Encoding: chunked\r\n", signature: bytes = b"seal-1"
+) -> bytes:
     """Return the head of an event stream."""
     return b"HTTP/1.1 200 OK\r\n%s: id-1\r\n%s: %s\r\n%s\r\n" % (
-        wire.REQUEST_ID, wire.SIGNATURE, seal, extra,
+        wire.REQUEST_ID, wire.SIGNATURE, signature, extra,
     )  # fmt: skip
 
 
--- a/gladedrum/forward/tests/test_backoff_statements.py
+++ b/gladedrum/forward/tests/test_backoff_statements.py
@@ -73,7 +73,7 @@
     assert fleet.requests_received(port, asked_s, "box1") == []
 
 
-def test_deciders_exclude_targets_that_the_asking_box_backs_off_from():
+def test_coordinators_exclude_targets_that_the_asking_box_backs_off_from():
     fleet = StatementFleet(targets=4, boxes=16)
     members = fleet.boxes["box1"].coordinators.members()
     outside = next(name for name in fleet.boxes if name not in members)
--- a/gladedrum/forward/tests/test_crashing_fleet.py
+++ b/gladedrum/forward/tests/test_crashing_fleet.py
@@ -11,7 +11,12 @@
 from gladedrum.fleet import TargetReport
 from gladedrum.forward.tests.crashing_fleet import RESTART_DELAY_S, CrashingFleet
 from gladedrum.forward.tests.support import World, answer
-from gladedrum.forward.tests.test_reservations import grant_all, long_world, orders, requests
+from gladedrum.forward.tests.test_reservations import (
+    grant_all,
+    long_world,
+    requests,
+    reservation_calls,
+)
 from gladedrum.outcome import Completed, NotRun
 from gladedrum.placing.work_plan import WorkPlan
 from gladedrum.platform import wire
@@ -247,7 +252,7 @@
     world.run()
     grant_all(world)
     (side,) = requests(world)
-    helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
+    helper = next(address for op, _, address, _ in reservation_calls(world) if op == "reserve")
     fault = b"%s: %s:%d\r\n%s: 1\r\n" % (wire.AT_FAULT, helper[0].encode(), helper[1], wire.NOT_RUN)
     side.reply(answer(503, b"no", extra=fault))
     (loss,) = world.view.suspects.losses()
--- a/gladedrum/forward/tests/test_drain.py
+++ b/gladedrum/forward/tests/test_drain.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gladedrum.forward.drain import ACCEPT_ON_S, drain_callers
+from gladedrum.forward.drain import KEEP_ACCEPTING_S, drain_callers
 from gladedrum.forward.tests.support import KEY, World, answer
 from gladedrum.platform import wire
 from gladedrum.utils import start
@@ -45,7 +45,7 @@
     world.attempt().reply(answer())
     assert b"connection: close" in caller.received.lower()
     assert caller.transport.closed
-    world.run(ACCEPT_ON_S + 0.1)
+    world.run(KEEP_ACCEPTING_S + 0.1)
     assert drained
 
 
@@ -53,7 +53,7 @@
     world = World()
     caller = world.caller()
     stop(world)
-    world.run(ACCEPT_ON_S - 0.2)
+    world.run(KEEP_ACCEPTING_S - 0.2)
     assert not caller.transport.closed
     world.run(0.3)
     assert caller.transport.closed
@@ -64,7 +64,7 @@
     world = World(time_limit_s=30.0)
     world.caller().send_request(b"body")
     stop(world)
-    world.run(ACCEPT_ON_S - 0.2)
+    world.run(KEEP_ACCEPTING_S - 0.2)
     assert world.accepting
     world.run(0.3)
     assert not world.accepting
@@ -94,7 +94,7 @@
     world = World(time_limit_s=30.0)
     caller = world.caller()
     stop(world)
-    world.run(ACCEPT_ON_S - 0.1)
+    world.run(KEEP_ACCEPTING_S - 0.1)
     request = (
         b"POST /x/2f HTTP/1.1\r\nHost: a.example\r\nContent-Length: 4\r\n%s: id-1\r\n"
         b"%s: Bearer %s\r\n\r\nbody" % (wire.REQUEST_ID, wire.AUTHORIZATION, KEY.encode())
--- a/gladedrum/forward/tests/test_hedge_preparation_failures.py
+++ b/gladedrum/forward/tests/test_hedge_preparation_failures.py
@@ -1,4 +1,4 @@
-"""Failures while a hedge is prepared: its retry and its placement must be given back."""
+"""Failures while a hedge is prepared: its retry grant and its placement must be given back."""
 
 import pytest
 
--- a/gladedrum/forward/tests/test_hedging.py
+++ b/gladedrum/forward/tests/test_hedging.py
@@ -115,7 +115,7 @@
 
 def test_a_hedge_that_continues_first_takes_over_the_stream():
     world, caller, lead, hedge = hedged_stream()
-    hedge.reply(stream_head(seal=b"seal-2") + chunk(event(2)))
+    hedge.reply(stream_head(signature=b"seal-2") + chunk(event(2)))
     assert lead.closed == "aborted"
     assert len(distrusted(world)) == 1
     hedge.reply(chunk(event(3)) + chunk(b""))
--- a/gladedrum/forward/tests/test_hedging_edge_cases.py
+++ b/gladedrum/forward/tests/test_hedging_edge_cases.py
@@ -112,7 +112,7 @@
     assert placed_work(world) == 0
 
 
-def test_refused_hedges_count_towards_the_offer_limit():
+def test_refused_hedges_count_towards_the_attempt_limit():
     world = plain_world(targets=20, time_limit_s=30.0)
     _caller, lead = send_and_connect(world)
     for _ in range(35):
--- a/gladedrum/forward/tests/test_life.py
+++ b/gladedrum/forward/tests/test_life.py
@@ -1,4 +1,4 @@
-"""The life of a request, from a scripted caller through the box to scripted targets."""
+"""The life cycle of a request, from a scripted caller through the box to scripted targets."""
 
 import pytest
 
@@ -294,7 +294,7 @@
     second = world.attempt()
     assert second.address != first.address
     assert b"%s: 2\r\n" % wire.LAST_EVENT_ID in second.sent
-    second.reply(stream_head(seal=b"seal-2") + chunk(event(3)) + chunk(event(4)) + chunk(b""))
+    second.reply(stream_head(signature=b"seal-2") + chunk(event(3)) + chunk(event(4)) + chunk(b""))
     assert caller.received.count(b"data: e") == 4
     assert caller.received.count(b"data: e3\n") == 1
     assert b"seal-1" in caller.received
--- a/gladedrum/forward/tests/test_lost_run.py
+++ b/gladedrum/forward/tests/test_lost_run.py
@@ -59,7 +59,7 @@
     wait(world, 4.5, used=2_000)
     sent = requests(world)
     assert len(sent) == 2
-    sent[1].reply(stream_head(seal=b"seal-2") + chunk(event(1)) + chunk(b""))
+    sent[1].reply(stream_head(signature=b"seal-2") + chunk(event(1)) + chunk(b""))
     assert caller.received.endswith(b"0\r\n\r\n")
     assert lead.closed
 
--- a/gladedrum/forward/tests/test_malformed_input.py
+++ b/gladedrum/forward/tests/test_malformed_input.py
@@ -117,11 +117,11 @@
             view.receive(message, ["t1", "t2"], 1.0)
     left = view.state("t1").ledger
     assert left.rows
-    left.advance(world_traits(), 100.0)
+    left.advance(default_traits(), 100.0)
     assert not left.rows
 
 
-def world_traits():
+def default_traits():
     from gladedrum.scheduling.engine_model import EngineTraits
 
     return EngineTraits()
--- a/gladedrum/forward/tests/test_target_restart.py
+++ b/gladedrum/forward/tests/test_target_restart.py
@@ -6,7 +6,12 @@
 
 from gladedrum.fleet import TargetReport
 from gladedrum.forward.tests.support import World, answer, chunk, event, stream_head
-from gladedrum.forward.tests.test_reservations import grant_all, long_world, orders, requests
+from gladedrum.forward.tests.test_reservations import (
+    grant_all,
+    long_world,
+    requests,
+    reservation_calls,
+)
 
 OLD, NEW = 1_000_000, 1_004_000
 
@@ -47,7 +52,7 @@
     other = world.attempt()
     assert other is not side
     assert b"ast-event-id: 2" in other.sent.lower()
-    other.reply(stream_head(seal=b"seal-2") + chunk(event(3)) + chunk(b""))
+    other.reply(stream_head(signature=b"seal-2") + chunk(event(3)) + chunk(b""))
     assert [caller.received.count(b"data: e%d" % n) for n in (1, 2, 3)] == [1, 1, 1]
     assert caller.received.endswith(b"0\r\n\r\n")
 
@@ -96,14 +101,14 @@
     world.run()
     grant_all(world)
     assert requests(world)
-    helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
+    helper = next(address for op, _, address, _ in reservation_calls(world) if op == "reserve")
     world.run(1.1, step_s=0.1)
-    before = len(orders(world))
+    before = len(reservation_calls(world))
     report_start(world, NEW, f"t{helper[1] - 9000}")
     world.run(4.0, step_s=0.1)
     caller.disconnect()
     world.run(1.0, step_s=0.1)
-    assert [o for o in orders(world)[before:] if o[2] == helper] == []
+    assert [o for o in reservation_calls(world)[before:] if o[2] == helper] == []
 
 
 def test_memory_reserved_by_a_not_yet_known_start_is_kept():
@@ -112,14 +117,14 @@
     report_start(world, OLD)
     world.caller().send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
-    for op, _name, _place, side in orders(world):
+    for op, _name, _place, side in reservation_calls(world):
         assert op == "reserve"
         side.reply(answer(200, b'{"free":1,"born":%d}' % NEW, request_id=b""))
     world.run()
     assert requests(world)
     report_start(world, NEW)
     world.run(2.0, step_s=0.1)
-    assert {op for op, *_ in orders(world)} == {"reserve"}
+    assert {op for op, *_ in reservation_calls(world)} == {"reserve"}
 
 
 def test_memory_reserved_after_a_restart_by_a_renewal_is_released():
@@ -128,14 +133,16 @@
     world.caller().send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
     world.run()
     grant_all(world)
-    helper = next(address for op, _, address, _ in orders(world) if op == "reserve")
-    before = len(orders(world))
+    helper = next(address for op, _, address, _ in reservation_calls(world) if op == "reserve")
+    before = len(reservation_calls(world))
     for _ in range(30):
         world.run(0.1)
-        for op, _name, address, side in orders(world)[before:]:
+        for op, _name, address, side in reservation_calls(world)[before:]:
             if op == "reserve" and address == helper and not getattr(side, "renewed", False):
                 side.renewed = True
                 side.reply(answer(200, b'{"free":1,"born":%d}' % NEW, request_id=b""))
-    after = [op for op, _name, address, _side in orders(world)[before:] if address == helper]
+    after = [
+        op for op, _name, address, _side in reservation_calls(world)[before:] if address == helper
+    ]
     assert after[:2] == ["reserve", "release"]
     assert "reserve" not in after[2:]
