--- a/gladedrum/connections/caller_conn.py
+++ b/gladedrum/connections/caller_conn.py
@@ -1,4 +1,4 @@
-"""Server side of callers' connections: reads requests one at a time and writes responses."""
+"""Server side of callers' connections: reads requests one at a time and writes answers."""
 
 import logging
 from collections.abc import Callable
@@ -23,7 +23,7 @@
     """Receives connection events while a request is handled; `CallerFactory.handle` returns one."""
 
     def caller_gone(self) -> None:
-        """Called when the caller has closed its connection before the response was complete."""
+        """Called when the caller has closed its connection before the answer was complete."""
 
     def set_reading(self, on: bool) -> None:
         """Called with False when the caller reads too slowly, with True when it has caught up."""
@@ -53,8 +53,8 @@
         self._timer: IDelayedCall | None = None
         self._header_started = False
         self._closing = False
-        self._read_ahead = 0
-        self._responses = 0
+        self._read_ahead_bytes = 0
+        self._answers = 0
         self._dispatching = False
 
     # Called by Twisted.
@@ -70,8 +70,8 @@
         """Parse received bytes."""
         if self._closing and self._handler is None:
             return
-        self._read_ahead += len(data)
-        if self._handler is not None and self._read_ahead > _MAX_READ_AHEAD_BYTES:
+        self._read_ahead_bytes += len(data)
+        if self._handler is not None and self._read_ahead_bytes > _MAX_READ_AHEAD_BYTES:
             self.transport.pauseProducing()
         try:
             self._http.receive_data(data)
@@ -106,22 +106,22 @@
     # Called by the task that handles the request.
 
     def send_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Send the head of the response."""
-        if self._is_last_response:
+        """Send the head of the answer."""
+        if self._is_last_answer:
             headers = [*headers, (b"connection", b"close")]
         self._send(h11.Response(status_code=status, headers=headers))
 
     def send_data(self, data: bytes) -> None:
-        """Send a part of the response's body."""
+        """Send a part of the answer's body."""
         if data:
             self._send(h11.Data(data=data))
 
     def end_answer(self) -> None:
-        """Complete the response and continue with the next request."""
+        """Complete the answer and continue with the next request."""
         self._send(h11.EndOfMessage())
         self._handler = None
-        self._responses += 1
-        if self._http.our_state is h11.MUST_CLOSE or self._is_last_response:
+        self._answers += 1
+        if self._http.our_state is h11.MUST_CLOSE or self._is_last_answer:
             self._close()
             return
         try:
@@ -129,19 +129,19 @@
         except h11.LocalProtocolError:
             self._close()
             return
-        self._read_ahead = 0
+        self._read_ahead_bytes = 0
         self.transport.resumeProducing()
         self._set_timer(self._limits.idle_time_s, self._on_idle_timeout)
         if not self._dispatching:
             self._parse()
 
     @property
-    def _is_last_response(self) -> bool:
-        """Whether the connection closes after the current response."""
+    def _is_last_answer(self) -> bool:
+        """Whether the connection closes after the current answer."""
         return self._closing or self._factory.draining or not self._factory.keep
 
     def abort_answer(self) -> None:
-        """Abort the connection, so that the response cannot be mistaken for a complete one."""
+        """Abort the connection, so that the answer cannot be mistaken for a complete one."""
         self._handler = None
         self.transport.abortConnection()
 
@@ -200,6 +200,7 @@
         self._header_started = False
         self._set_timer(self._limits.idle_time_s, self._on_body_timeout)
         names = [name for name, _ in req.headers]
+        # Each header line adds a colon, a space and CRLF.
         head_bytes = len(req.target) + sum(len(n) + len(v) + 4 for n, v in req.headers)
         if req.method == b"CONNECT":
             self._refuse(405, "CONNECT is not served")
@@ -222,20 +223,21 @@
             self._arrived_s,
             has_body,
         )
-        responses_before = self._responses
+        # The request may be answered before `handle` returns; its handler is then not needed.
+        answers_before = self._answers
         self._dispatching = True
         handler = self._factory.handle(request, self)
         self._dispatching = False
-        if self._responses == responses_before:
+        if self._answers == answers_before:
             self._handler = handler
 
     # Closing.
 
     def _refuse(self, status: int, reason: str) -> None:
-        """Respond to a malformed request with an error, and close."""
+        """Answer a malformed request with an error, and close."""
         _log.info("request refused", extra={"status": status, "reason": reason})
         if self._handler is not None:
-            # The malformed bytes follow a request in progress: complete its response, then close.
+            # The malformed bytes follow a request in progress: complete its answer, then close.
             self._closing = True
             return
         text = reason.encode("latin-1", "replace")
@@ -255,7 +257,7 @@
         try:
             data = self._http.send(event)
         except h11.LocalProtocolError as exc:
-            _log.error("cannot send response", extra={"reason": str(exc)})
+            _log.error("cannot send answer", extra={"reason": str(exc)})
             self.abort_answer()
             return
         if data:
@@ -303,7 +305,7 @@
     Attributes
     ----------
     draining : bool
-        If true, connections close after their current response.
+        If true, connections close after their current answer.
     connections : set of CallerConnection
         The open connections.
     """
@@ -344,7 +346,7 @@
         return closed
 
     def close_idle(self) -> None:
-        """Close idle connections now, and the others after their current response."""
+        """Close idle connections now, and the others after their current answer."""
         self.draining = True
         for conn in tuple(self.connections):
             conn.close_if_idle()
--- a/gladedrum/connections/calls.py
+++ b/gladedrum/connections/calls.py
@@ -1,4 +1,7 @@
-"""Short calls to targets (reports and orders), over the same pool as requests."""
+"""Calls to targets other than requests: for load reports, and memory orders.
+
+`platform.orders` makes the calls; they share the pool of connections with requests.
+"""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -14,11 +17,11 @@
 
 __all__ = ["CallAnswer", "call_target"]
 
-_MAX_REPLY_BYTES = 1_000_000
+_MAX_ANSWER_BYTES = 1_000_000
 
 
 class CallAnswer(NamedTuple):
-    """The status and body of a target's reply."""
+    """The status and body of a target's answer."""
 
     status: int
     body: bytes
@@ -32,16 +35,17 @@
 async def call_target(
     clock: IReactorTime, pool: TargetPool, entry: TargetEntry, call: TargetCall, timeout_s: float
 ) -> CallAnswer:
-    """Make a call and return the complete reply.
+    """Make a call and return the complete answer.
 
     Raises
     ------
     TargetBackoffError
-        If the target has asked not to receive this kind of call; nothing was sent.
+        If the target asked for a backoff, or is leaving and the call is for a reservation; nothing
+        was sent.
     TargetNotListeningError
         If the target's address refuses connections.
     TargetBrokenError
-        If no complete reply came in time; an order may still have taken effect.
+        If no complete answer came in time; an order may still have taken effect.
     """
     mailbox = Mailbox(clock)
     host = [(b"host", f"{entry.host}:{entry.port}".encode())]
@@ -56,8 +60,8 @@
                     pass
                 case AnswerData(data=data):
                     chunks.append(data)
-                    if sum(map(len, chunks)) > _MAX_REPLY_BYTES:
-                        raise TargetBrokenError(f"{entry.name}: the reply is too long")
+                    if sum(map(len, chunks)) > _MAX_ANSWER_BYTES:
+                        raise TargetBrokenError(f"{entry.name}: the answer is too long")
                 case AnswerEnd():
                     return CallAnswer(status, b"".join(chunks))
                 case AnswerBroken(withheld=True, reason=reason):
@@ -67,6 +71,6 @@
                 case AnswerBroken(reason=reason):
                     raise TargetBrokenError(f"{entry.name}: {reason}")
                 case TimedOut():
-                    raise TargetBrokenError(f"{entry.name}: no reply within {timeout_s} s")
+                    raise TargetBrokenError(f"{entry.name}: no answer within {timeout_s} s")
     finally:
         exchange.cancel()
--- a/gladedrum/connections/messages.py
+++ b/gladedrum/connections/messages.py
@@ -26,8 +26,8 @@
 
     Parameters
     ----------
-    method, target : bytes
-        The method and the request target (path and query) of HTTP.
+    method, path : bytes
+        The method, and the path with the query.
     headers : list of (bytes, bytes)
         Names in lower case.
     body : bytes
@@ -48,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """The status and headers of a target's response; `attempt` is the number of the attempt."""
+    """The status and headers of a target's answer.
+
+    `attempt`, here and in the other messages, is the number that `Exchange` holds.
+    """
 
     attempt: int
     status: int
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerData:
-    """Bytes of a response's body."""
+    """Bytes of an answer's body."""
 
     attempt: int
     data: bytes
@@ -65,21 +68,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerEnd:
-    """The response is complete."""
+    """The answer is complete."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerBroken:
-    """The response failed and will not be completed.
+    """The answer failed and will not be completed.
 
     Parameters
     ----------
     attempt : int
         The number of the attempt.
     reason : str
-        What happened, for logs.
+        What happened; goes into logs, and into the answer to the caller.
     sent : bool
         Whether any byte of the request may have reached the target.
     unreachable : bool
@@ -110,7 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SearchEnded:
-    """The search for another target has finished; the task that started it holds the result."""
+    """The search for another target, such as one for a hedge, has ended.
+
+    The task that started the search holds the result.
+    """
 
 
 Message = AnswerHead | AnswerData | AnswerEnd | AnswerBroken | CallerGone | SearchEnded | TimedOut
@@ -123,7 +129,7 @@
     Parameters
     ----------
     clock : IReactorTime
-        For timeouts.
+        For timeouts, and for the deadlines that `get` takes.
     """
 
     clock: IReactorTime
--- a/gladedrum/connections/target_conn.py
+++ b/gladedrum/connections/target_conn.py
@@ -1,6 +1,6 @@
 """Client side of connections to targets.
 
-A connection carries one exchange at a time: a request to a target and its response. A response to
+A connection carries one exchange at a time: a request to a target and its answer. An answer to
 another request is dropped (see `TargetConnection`).
 """
 
@@ -33,13 +33,13 @@
 """TCP user timeout: a connection fails when sent bytes stay unacknowledged for this long."""
 
 _MAX_HEAD_BYTES = 65_536
-"""The maximum size of a response's head."""
+"""The maximum size of an answer's head."""
 
 _log = logging.getLogger(__name__)
 
 
 class RequestHead(NamedTuple):
-    """The head of a request to a target."""
+    """The method, path with query, and headers of a request to a target."""
 
     method: bytes
     target: bytes
@@ -47,14 +47,15 @@
 
 
 class Exchange:
-    """One request to a target; delivers the response as messages.
+    """One request to a target; delivers the answer as messages.
 
     Parameters
     ----------
     attempt : int
-        The number of the attempt, repeated in each message.
+        A number that is unique within the pool, also for calls other than requests; repeated in
+        each message.
     request_id : str
-        Responses that name another request id are dropped.
+        Answers that name another request id are dropped.
     target : str
         The target's name.
     deliver : callable
@@ -66,6 +67,8 @@
         The target's start time as known when the request was sent; see `TargetEntry`.
     sent_s : float
         When the request was sent, by the pool's clock.
+    over : bool
+        Whether the answer has ended or the exchange was cancelled; nothing is delivered then.
     """
 
     def __init__(
@@ -101,7 +104,7 @@
             self._conn.abort()
 
     def set_reading(self, on: bool) -> None:
-        """Pause or resume reading the response."""
+        """Pause or resume reading the answer."""
         if self._conn is not None and not self.over:
             self._conn.set_reading(on)
 
@@ -116,13 +119,13 @@
         """Remove a connection that cannot be reused."""
 
     def note_answer(self, exchange: Exchange, statements: Statements) -> None:
-        """Process what a response's headers state about its target."""
+        """Process what an answer's headers state about its target."""
 
 
 class TargetConnection(protocol.Protocol):
     """A connection to one target.
 
-    Responses name the request that they answer. A response to an earlier request, such as a
+    Answers name the request that they belong to. An answer to an earlier request, such as a
     cancelled one, is dropped; the connection then waits for the right one and is not reused.
 
     Parameters
@@ -148,7 +151,7 @@
         self._head: RequestHead | None = None
         self._mismatched = False
         self._reusable = True
-        self._response_started = False
+        self._answer_started = False
         self.idle_limit_s = IDLE_LIMIT_S
         self.idle_since_s = 0.0
 
@@ -165,7 +168,7 @@
     def begin(self, exchange: Exchange, head: RequestHead, body: bytes) -> None:
         """Send a request."""
         self._exchange, self._head = exchange, head
-        self._response_started = False
+        self._answer_started = False
         exchange.bind(self)
         try:
             data = _encode_request(self._http, head, body)
@@ -188,7 +191,7 @@
             self.transport.pauseProducing()
 
     def dataReceived(self, data: bytes) -> None:
-        """Parse a part of a response."""
+        """Parse a part of an answer."""
         if self._exchange is None:
             # Unsolicited bytes: nothing else on this connection can be trusted.
             self._reusable = False
@@ -202,7 +205,7 @@
         self._pool.forget(self._address, self)
         if self._exchange is None:
             return
-        # An orderly close of the connection completes a response without a length.
+        # An orderly close of the connection completes an answer without a length.
         if reason is not None and reason.check(error.ConnectionDone):
             self._parse(b"")
         if self._exchange is not None:
@@ -218,7 +221,7 @@
                     return
                 self._handle_event(event)
         except h11.RemoteProtocolError as exc:
-            self._fail(f"malformed response: {exc}", sent=True)
+            self._fail(f"not an answer in the protocol: {exc}", sent=True)
 
     def _handle_event(self, event) -> None:
         exchange = self._exchange
@@ -230,7 +233,7 @@
             case h11.Data(data=data) if not self._mismatched:
                 exchange.deliver(AnswerData(exchange.attempt, bytes(data)))
             case h11.EndOfMessage() if self._mismatched:
-                self._await_matching_response()
+                self._await_matching_answer()
             case h11.EndOfMessage():
                 self._complete(exchange)
             case h11.ConnectionClosed():
@@ -245,18 +248,23 @@
         self._mismatched = bool(metadata.request_id) and metadata.request_id != exchange.request_id
         if self._mismatched:
             _log.warning(
-                "dropped response to another request",
+                "dropped answer to another request",
                 extra={"request_id": exchange.request_id, "answer_to": metadata.request_id},
             )
             return
         if event.status_code != HTTPStatus.MISDIRECTED_REQUEST:
-            # With this status another target has responded, whose statements concern itself.
+            # This status means that another target now listens at the address; its statements do
+            # not apply to the target of the request.
             self._pool.note_answer(exchange, parse_statements(event.status_code, headers))
-        self._response_started = True
+        self._answer_started = True
         exchange.deliver(AnswerHead(exchange.attempt, event.status_code, headers))
 
-    def _await_matching_response(self) -> None:
-        """Wait for the right response after one to an earlier request has been dropped."""
+    def _await_matching_answer(self) -> None:
+        """Wait for the right answer after one to an earlier request has been dropped.
+
+        A new h11 connection parses an answer only after it has encoded a request. The result is not
+        sent; only the length of the body matters.
+        """
         remaining, closed = self._http.trailing_data
         http = h11.Connection(h11.CLIENT, _MAX_HEAD_BYTES)
         _encode_request(http, self._head, b"\0" * self._body_length())
@@ -265,7 +273,7 @@
         if remaining:
             self._http.receive_data(remaining)
         if closed:
-            self._fail("closed after a response to another request", sent=True)
+            self._fail("closed after an answer to another request", sent=True)
 
     def _body_length(self) -> int:
         return int(dict(self._head.headers).get(b"content-length", b"0"))
@@ -278,8 +286,8 @@
         except h11.LocalProtocolError:
             self._reusable = False
         if self._reusable and not extra_bytes and not closed:
-            # A slow caller may have paused reading during this call. Its handler cannot resume a
-            # finished exchange, and the next response would never be read.
+            # The last data delivered may have paused reading for a slow caller. Its handler cannot
+            # resume a finished exchange, and the next answer would never be read.
             self.transport.resumeProducing()
             self._pool.keep(self._address, self)
         else:
--- a/gladedrum/connections/target_pool.py
+++ b/gladedrum/connections/target_pool.py
@@ -39,7 +39,7 @@
 
 
 class TargetGate(Interface):
-    """Authorizes everything that is sent to targets, and receives the statements in responses."""
+    """Authorizes everything that is sent to targets, and receives the statements in answers."""
 
     def authorize(self, target: str, kind: CallKind) -> int:
         """Return the target's known start time; called right before each send.
@@ -48,7 +48,7 @@
         """
 
     def note_answer(self, target: str, born: int, statements: Statements, sent_s: float) -> None:
-        """Process what a response states about its target.
+        """Process what an answer states about its target.
 
         `born` is what `authorize` returned for the request, and `sent_s` the time of that call.
         """
@@ -100,6 +100,8 @@
     ) -> Exchange:
         """Send a request on an idle connection or a new one.
 
+        Returns at once; on a new connection, the request is sent when it is open.
+
         Parameters
         ----------
         entry : TargetEntry
@@ -114,9 +116,10 @@
         request_id : str
             The request's id.
         repeatable : bool
-            Whether it may be sent again if a kept connection turns out to be closed.
+            Whether the caller of `begin` may send it again if a kept connection turns out to be
+            closed. If not, only connections that were idle for a short time are used.
         deliver : callable
-            Called with the messages of the response.
+            Called with the messages of the answer.
         """
         address = (entry.host, entry.port)
         exchange = Exchange(next(self._attempt_numbers), request_id, entry.name, deliver)
@@ -179,7 +182,7 @@
         conn.begin(exchange, head, body)
 
     def note_answer(self, exchange: Exchange, statements: Statements) -> None:
-        """Pass a response's statements about its target to the gate."""
+        """Pass an answer's statements about its target to the gate."""
         self.gate.note_answer(exchange.target, exchange.born, statements, exchange.sent_s)
 
     def keep(self, address: tuple[str, int], conn: TargetConnection) -> None:
--- a/gladedrum/connections/tests/test_pool.py
+++ b/gladedrum/connections/tests/test_pool.py
@@ -12,18 +12,18 @@
 
 
 def test_connection_paused_for_a_slow_caller_is_resumed_for_the_next_request():
-    """The last bytes of a response may fill the caller's buffer and pause reading; a connection
-    kept in this state would never deliver the next response."""
+    """The last bytes of an answer may fill the caller's buffer and pause reading; a connection
+    kept in this state would never deliver the next answer."""
     world = stream_world()
     slow = world.caller()
     slow.send_request(b"body")
-    side = world.attempt()
+    target_side = world.attempt()
     slow.transport.write = lambda _data: slow.proto.pauseProducing()
-    side.reply(stream_head() + chunk(event(1)) + chunk(b""))
+    target_side.reply(stream_head() + chunk(event(1)) + chunk(b""))
     other = world.caller()
     other.send_request(b"body")
     assert len(world.net.opened) == 1
-    assert side.transport.producerState == "producing"
+    assert target_side.transport.producerState == "producing"
 
 
 def test_busy_connection_stays_open_when_its_target_is_unlisted_or_the_pool_is_full():
@@ -31,16 +31,16 @@
     world = stream_world()
     caller = world.caller()
     caller.send_request(b"body")
-    side = world.attempt()
-    side.reply(stream_head() + chunk(event(1)))
-    world.ctx.pool.close_idle_to(side.address)
+    target_side = world.attempt()
+    target_side.reply(stream_head() + chunk(event(1)))
+    world.ctx.pool.close_idle_to(target_side.address)
     others = [world.caller() for _ in range(MAX_IDLE_PER_TARGET + 2)]
     for other in others:
         other.send_request(b"body")
-    for used in world.net.opened[1:]:
-        used.reply(answer())
+    for other_side in world.net.opened[1:]:
+        other_side.reply(answer())
     world.list_targets(1, leaving=("t1",))
-    world.ctx.pool.close_idle_to(side.address)
-    assert not side.closed
-    side.reply(chunk(event(2)) + chunk(b""))
+    world.ctx.pool.close_idle_to(target_side.address)
+    assert not target_side.closed
+    target_side.reply(chunk(event(2)) + chunk(b""))
     assert caller.received.endswith(chunk(event(2)) + chunk(b""))
--- a/gladedrum/platform/__init__.py
+++ b/gladedrum/platform/__init__.py
@@ -1,6 +1,9 @@
 """The adapter to the operators' platform: its names, formats and calls, without any policy.
 
-No other package may spell out the names in `wire`; `tests/test_words.py` checks this.
+The platform lists targets in two places: the directory (`directory`: boxes, engines and plain
+services) and the store (`feeds.TargetFeed`: entries that targets write themselves).
+
+No other package may spell out the names in `wire`; `tests/test_wire_names.py` checks this.
 """
 
 from .directory import *
--- a/gladedrum/platform/codecs.py
+++ b/gladedrum/platform/codecs.py
@@ -1,4 +1,4 @@
-"""Decoders for the operator's configuration and for entries, reports and replies of targets.
+"""Decoders for the operator's configuration and for entries, reports and answers of targets.
 
 All raise `MalformedError` for bytes that do not follow the platform's formats, except
 `decode_start_time`. The `msgspec` structs mirror the JSON; callers get this package's own types.
@@ -67,6 +67,8 @@
 
 
 class _Engine(msgspec.Struct):
+    """Performance figures of a service's engines; `EngineTraits` explains them."""
+
     slots: int = 8
     kv_capacity_tokens: int = msgspec.field(default=232_000, name="kvCapacityTokens")
     stride: int = 1
@@ -145,8 +147,8 @@
     """As in `_Entry`."""
 
 
-class _OrderReply(msgspec.Struct):
-    """A target's reply to a reserve or release order."""
+class _OrderAnswer(msgspec.Struct):
+    """A target's answer to a reserve or release order."""
 
     born: _UnixMs = 0
     """As in `_Entry`."""
@@ -155,7 +157,7 @@
 _configuration = msgspec.json.Decoder(_Configuration)
 _entry = msgspec.json.Decoder(_Entry)
 _report = msgspec.json.Decoder(_Report)
-_order_reply = msgspec.json.Decoder(_OrderReply)
+_order_answer = msgspec.json.Decoder(_OrderAnswer)
 
 
 def decode_configuration(raw: bytes) -> RouteTable:
@@ -202,9 +204,9 @@
 
 
 def decode_start_time(raw: bytes) -> int:
-    """Return the process start time in a target's reply to an order, 0 if it has none."""
+    """Return the process start time in a target's answer to an order, 0 if it has none."""
     try:
-        return _decode(_order_reply, raw).born
+        return _decode(_order_answer, raw).born
     except MalformedError:
         return 0
 
--- a/gladedrum/platform/directory.py
+++ b/gladedrum/platform/directory.py
@@ -73,7 +73,7 @@
     name : str
         Unique among the targets.
     kind : str
-        ``engine`` or ``service``.
+        ``engine`` (runs models), or ``service`` (a plain service: any other).
     url : str
         Its base URL.
     data_hall : str
--- a/gladedrum/platform/feeds.py
+++ b/gladedrum/platform/feeds.py
@@ -7,7 +7,7 @@
 from ..routes import RouteTable
 from . import wire
 from .codecs import MalformedError, decode_configuration, decode_target
-from .store import PROBE_TIMEOUT_S, StoreClient, StoredItem
+from .store import PROBE_TIMEOUT_S, Revision, StoreClient, StoredItem
 
 __all__ = ["ConfigurationFeed", "ConfigurationUpdate", "TargetFeed"]
 
@@ -31,7 +31,7 @@
     """
 
     table: RouteTable | None
-    revision: int
+    revision: Revision
     raw: bytes = b""
 
 
@@ -44,14 +44,14 @@
     async def read(self, probe: bool = False) -> ConfigurationUpdate:
         """Read the current configuration; raises `KVUnavailableError` or `MalformedError`.
 
-        `probe` sets the shorter timeout for a store that has not responded recently.
+        `probe` sets the shorter timeout for a store that has not answered recently.
         """
         limit_s = PROBE_TIMEOUT_S if probe else None
         listing = await self._store.list(wire.CONFIGURATION_PREFIX, timeout_s=limit_s)
         raw = _newest(listing.items)
         return ConfigurationUpdate(self.decode(raw) if raw else None, listing.revision, raw)
 
-    async def watch(self, after_revision: int, wait_s: float) -> ConfigurationUpdate:
+    async def watch(self, after_revision: Revision, wait_s: float) -> ConfigurationUpdate:
         """Wait for a newer configuration; raises as `read` does, or `HistoryGoneError`."""
         result = await self._store.watch(wire.CONFIGURATION_PREFIX, after_revision, wait_s)
         raw = _newest(result.changes)
@@ -95,7 +95,8 @@
             _log.error("target's entry not read", extra=extra)
         if len(new_names) > MAX_MALFORMED_LOGGED:
             _log.error(
-                "targets' entries not read", extra={"more": len(new_names) - MAX_MALFORMED_LOGGED}
+                "further targets' entries not read",
+                extra={"more": len(new_names) - MAX_MALFORMED_LOGGED},
             )
 
 
--- a/gladedrum/platform/headers.py
+++ b/gladedrum/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translation of HTTP headers of requests and responses.
+"""Translation of HTTP headers of requests and answers.
 
 The types here hold the metadata that the platform's headers carry, under this package's own names
 and units.
@@ -42,7 +42,7 @@
     request_id : str
         The request's id; empty if missing.
     time_left_s : float or None
-        How long the caller waits for the response.
+        How long the caller waits for the answer.
     key : str or None
         The API key; None without the header, empty if the header holds no key.
     prompt_tokens, answer_tokens : int
@@ -75,7 +75,7 @@
     organisation : str or None
         The organisation whose API key the request carries.
     urgency : int
-        From 0 (most urgent) to 9.
+        The request's priority, from 0 (most urgent) to 9.
     last_event_id : bytes or None
         The event after which an interrupted stream resumes.
     helpers : tuple of str
@@ -91,7 +91,7 @@
 
 
 class AnswerMetadata(NamedTuple):
-    """Metadata of a target's response, from its status and headers.
+    """Metadata of a target's answer, from its status and headers.
 
     Parameters
     ----------
@@ -101,9 +101,9 @@
         True if the target guarantees that it did not and will not run the request.
     at_fault : str
         The target because of which the request did not run, by name or IP:PORT; empty if not named.
-        It may be a helper of the target that responds.
+        It may be a helper of the target that answers.
     closes : bool
-        Whether the connection closes after the response.
+        Whether the connection closes after the answer.
     idle_s : float or None
         How long the target keeps an idle connection open; None if unknown.
     """
@@ -159,7 +159,7 @@
 
 
 def parse_answer_headers(status: int, headers: Headers) -> AnswerMetadata:
-    """Extract the metadata from a target's response."""
+    """Extract the metadata from a target's answer."""
     found = dict(headers)
     not_run = status == 421 or (status in (400, 429, 503) and wire.NOT_RUN in found)
     return AnswerMetadata(
@@ -172,13 +172,13 @@
 
 
 def answer_headers(headers: Sequence[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a target's response that are forwarded to the caller."""
+    """Return the headers of a target's answer that are forwarded to the caller."""
     dropped = _HOP_BY_HOP | _named_by_connection(headers)
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
 def refusal_headers(request_id: str, retry_after_s: float | None) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an error response that the box itself generates."""
+    """Return the headers of an error answer that the box itself generates."""
     headers = [(b"content-type", b"text/plain")]
     if request_id:
         headers.append((wire.REQUEST_ID, request_id.encode("latin-1")))
--- a/gladedrum/platform/orders.py
+++ b/gladedrum/platform/orders.py
@@ -44,7 +44,7 @@
 
 
 def report_call() -> TargetCall:
-    """Return a call for a target's load report; pass the reply's body to `decode_report`."""
+    """Return a call for a target's load report; pass the answer's body to `decode_report`."""
     return TargetCall(CallKind.REPORT, b"GET", wire.REPORT_PATH.encode())
 
 
@@ -53,7 +53,9 @@
 ) -> TargetCall:
     """Return a call that reserves memory or renews a reservation.
 
-    The target replies with 200 if it has reserved the memory, or 409 if too little is free.
+    The target answers 200 if it has reserved the memory, or 409 if too little is free. It frees the
+    memory after `hold_s` seconds unless the reservation is renewed. `kind` is `RESERVE` or `RENEW`;
+    the order itself is the same.
     """
     order = {"op": "reserve", "id": reservation, "tokens": tokens, "holdMs": int(hold_s * 1000)}
     return TargetCall(kind, b"POST", wire.ORDER_PATH.encode(), msgspec.json.encode(order))
--- a/gladedrum/platform/statements.py
+++ b/gladedrum/platform/statements.py
@@ -1,4 +1,4 @@
-"""Statements: what a target's response headers say about the target itself.
+"""Statements: what the headers of a target's answer say about the target itself.
 
 A statement applies beyond the request that is answered. `Statements` lists the kinds.
 """
@@ -42,18 +42,18 @@
 
 
 class Statements(NamedTuple):
-    """The statements in the headers of one response.
+    """The statements in the headers of one answer.
 
     Parameters
     ----------
     rate_per_s : float or None
         The target's rate limit in requests per second, for all boxes together. It applies until a
-        later response of the target names another limit or none. None if there is no limit.
+        later answer of the target names another limit or none. None if there is no limit.
     leaves : bool
         Whether the target is leaving; a leaving target does not return before it restarts.
     rest_s : float or None
         Backoff: the time in seconds during which the target wants no calls from the box that gets
-        this response. None if it asks for no backoff.
+        this answer. None if it asks for no backoff.
     malformed : tuple of MalformedStatement
         Statements that cannot be parsed; they have no effect.
     """
@@ -65,7 +65,7 @@
 
 
 def parse_statements(status: int, headers: Headers) -> Statements:
-    """Extract the statements from the status and headers of a response.
+    """Extract the statements from the status and headers of an answer.
 
     ``retry-after`` asks for backoff only with status 503. With 429 it concerns the organisation
     that sent the request, and with other statuses the requested resource.
@@ -79,14 +79,18 @@
     rate, malformed_rate = _read_header(headers, wire.RATE_LIMIT, _DECIMAL)
     leaves, malformed_leaves = _read_header(headers, wire.LEAVING, _TRUE)
     allows_backoff = status == HTTPStatus.SERVICE_UNAVAILABLE
-    rest, malformed_rest = (
+    backoff, malformed_backoff = (
         _read_header(headers, wire.RETRY_AFTER, _SECONDS) if allows_backoff else (None, "")
     )
-    malformed = {"rate_per_s": malformed_rate, "leaves": malformed_leaves, "rest_s": malformed_rest}
+    malformed = {
+        "rate_per_s": malformed_rate,
+        "leaves": malformed_leaves,
+        "rest_s": malformed_backoff,
+    }
     return Statements(
         None if rate is None else float(rate),
         leaves is not None,
-        None if rest is None else float(rest),
+        None if backoff is None else float(backoff),
         tuple(MalformedStatement(kind, text) for kind, text in malformed.items() if text),
     )
 
--- a/gladedrum/platform/store.py
+++ b/gladedrum/platform/store.py
@@ -5,7 +5,7 @@
 outcome is unknown (`KVUnknownError`).
 
 The store may be restored from a backup that is some seconds old. Each restore starts a new era, and
-every response names the current era number. A restored store reuses numbers of revisions and
+every answer names the current era number. A restored store reuses numbers of revisions and
 leases, so each carries the era in which it was issued: revisions of different eras are never equal,
 and those of the later era are newer.
 """
@@ -40,14 +40,14 @@
 STORE = Item("platform", "store", "127.0.0.1:2379", "IP:PORT of the platform's store.")
 
 CALL_TIMEOUT_S = 1.5
-"""The timeout of a call in seconds; a healthy store responds within milliseconds."""
+"""The timeout of a call in seconds; a healthy store answers within milliseconds."""
 
 PROBE_TIMEOUT_S = 0.7
-"""The timeout, in seconds, of calls to a store that has not responded recently. Many short calls
+"""The timeout, in seconds, of calls to a store that has not answered recently. Many short calls
 detect its return sooner than a long one; the time still suffices for a slow store."""
 
 _WATCH_GRACE_S = 1.0
-"""The additional time, in seconds, for the response of a watch after its wait has ended."""
+"""The additional time, in seconds, for the answer of a watch after its wait has ended."""
 
 _MAX_ERA_DIGITS = 12
 """Longer numbers are ignored as malformed."""
@@ -115,8 +115,8 @@
     revision: Revision
 
 
-class _Response(NamedTuple):
-    """The status, body and era of a response."""
+class _Answer(NamedTuple):
+    """The status, body and era of an answer."""
 
     status: int
     body: Any
@@ -136,10 +136,10 @@
     Attributes
     ----------
     era : int
-        The latest era that a response has named; 0 before the first response.
+        The latest era that an answer has named; 0 before the first answer.
     on_restored : list of callable
         Called with the previous and the new era when the store has been restored, before the
-        response that names the new era is returned.
+        answer that names the new era is returned.
     """
 
     def __init__(self, address: str, web: WebClient):
@@ -150,10 +150,10 @@
 
     async def get(self, key: str) -> StoredItem | None:
         """Return one item, None if the key does not exist; raises `KVUnavailableError`."""
-        response = await self._read(f"{wire.STORE_KEY}?key={quote(key, safe='')}")
-        if response.status == HTTPStatus.NOT_FOUND:
+        answer = await self._read(f"{wire.STORE_KEY}?key={quote(key, safe='')}")
+        if answer.status == HTTPStatus.NOT_FOUND:
             return None
-        return _decode_item(response.body, response.era)
+        return _decode_item(answer.body, answer.era)
 
     async def list(
         self, prefix: str, stale: bool = False, timeout_s: float | None = None
@@ -170,14 +170,14 @@
             query = f"pathPrefix={quote(prefix, safe='')}" + ("&stale=1" if stale else "")
             if after:
                 query += f"&afterRevision={quote(after, safe='')}"
-            response = await self._read(f"{wire.STORE_RANGE}?{query}", timeout_s)
-            page = [_decode_item(row, response.era) for row in response.body.get("items", [])]
+            answer = await self._read(f"{wire.STORE_RANGE}?{query}", timeout_s)
+            page = [_decode_item(row, answer.era) for row in answer.body.get("items", [])]
             items += page
             if first_page_revision is None:
-                first_page_revision = Revision(response.era, response.body.get("at", 0))
-            elif first_page_revision.era != response.era:
-                raise KVUnavailableError(f"{prefix}: the store was restored between pages")
-            if not response.body.get("more") or not page:
+                first_page_revision = Revision(answer.era, answer.body.get("at", 0))
+            elif first_page_revision.era != answer.era:
+                raise KVUnavailableError(f"{prefix}: the store came back from a copy between pages")
+            if not answer.body.get("more") or not page:
                 return Listing(tuple(items), first_page_revision)
             after = page[-1].key
 
@@ -193,20 +193,21 @@
         HistoryGoneError
             If the changes since `after_revision` are no longer kept, or it is of another era.
         KVUnavailableError
-            If no response came.
+            If no answer came.
         """
-        self._require_era(after_revision)
+        self._require_same_era(after_revision)
         query = f"pathPrefix={quote(prefix, safe='')}&afterRevision={after_revision.number}"
         path = f"{wire.STORE_WATCH}?{query}&waitMs={int(wait_s * 1000)}"
-        response = await self._read(path, wait_s + _WATCH_GRACE_S)
-        if response.status == HTTPStatus.GONE:
+        answer = await self._read(path, wait_s + _WATCH_GRACE_S)
+        if answer.status == HTTPStatus.GONE:
             raise HistoryGoneError(f"no history after revision {after_revision.number}")
-        self._require_era(after_revision)
-        changes = tuple(_decode_item(row, response.era) for row in response.body.get("events", []))
-        at = response.body.get("at", after_revision.number)
-        return WatchAnswer(changes, Revision(response.era, at))
+        self._require_same_era(after_revision)
+        changes = tuple(_decode_item(row, answer.era) for row in answer.body.get("events", []))
+        at = answer.body.get("at", after_revision.number)
+        return WatchAnswer(changes, Revision(answer.era, at))
 
-    def _require_era(self, revision: Revision) -> None:
+    def _require_same_era(self, revision: Revision) -> None:
+        """Raise `HistoryGoneError` unless a revision is of the current era."""
         if revision.era != self.era:
             raise HistoryGoneError(f"revision {revision.number} is of era {revision.era}")
 
@@ -221,7 +222,7 @@
 
         A condition or a lease of an earlier era does not hold. If the store is restored during the
         call, a condition may hold by accident, since the store may have reused its revision. The
-        response then names a later era, and the outcome counts as unknown.
+        answer then names a later era, and the outcome counts as unknown.
 
         Raises
         ------
@@ -232,7 +233,7 @@
         KVUnknownError
             If the call may have taken effect, or may still do so.
         """
-        self._require_current_era([r for r in conditions.values() if r != ABSENT], lease)
+        self._reject_earlier_eras([r for r in conditions.values() if r != ABSENT], lease)
         sent_era = self.era
         body = {
             "expectedRevision": [{"key": k, "revision": r.number} for k, r in conditions.items()],
@@ -242,13 +243,14 @@
             ],
             "remove": list(removals),
         }
-        response = await self._write("POST", wire.STORE_TRANSACTION, body)
-        if 0 < sent_era < response.era:
-            text = f"the store was restored during the call and is in era {response.era}"
+        answer = await self._write("POST", wire.STORE_TRANSACTION, body)
+        if 0 < sent_era < answer.era:
+            text = f"the store came back from a copy meanwhile, now in era {answer.era}"
             raise KVUnknownError(text)
-        return Revision(response.era, int(response.body["revision"]))
+        return Revision(answer.era, int(answer.body["revision"]))
 
-    def _require_current_era(self, revisions: Sequence[Revision], lease: Lease | None) -> None:
+    def _reject_earlier_eras(self, revisions: Sequence[Revision], lease: Lease | None) -> None:
+        """Raise `KVConflictError` if any of these is of an earlier era."""
         stale = [held for held in (*revisions, lease) if held is not None and held.era < self.era]
         if stale:
             raise KVConflictError(f"{stale[0]} is of an era before {self.era}")
@@ -265,25 +267,25 @@
 
     async def grant_lease(self, ttl_s: float) -> Lease:
         """Return a new lease of `ttl_s` seconds; raises as `transact` does."""
-        response = await self._write("POST", wire.STORE_LEASE, {"ttl_ms": int(ttl_s * 1000)})
-        return Lease(response.era, int(response.body["lease"]))
+        answer = await self._write("POST", wire.STORE_LEASE, {"ttl_ms": int(ttl_s * 1000)})
+        return Lease(answer.era, int(answer.body["lease"]))
 
     async def keep_lease(self, lease: Lease) -> None:
         """Renew a lease; raises `KVConflictError` if it has ended, else as `transact` does."""
-        self._require_current_era((), lease)
+        self._reject_earlier_eras((), lease)
         await self._write("POST", f"{wire.STORE_KEEP}{lease.number}", None)
         # If the store was restored during the call, the number may belong to another holder.
-        self._require_current_era((), lease)
+        self._reject_earlier_eras((), lease)
 
     async def end_lease(self, lease: Lease) -> None:
         """End a lease and remove its keys; raises as `keep_lease` does.
 
         A lease of an earlier era has ended already, and its number may belong to another holder.
         """
-        self._require_current_era((), lease)
+        self._reject_earlier_eras((), lease)
         await self._write("DELETE", f"{wire.STORE_LEASE_END}{lease.number}", None)
 
-    async def _read(self, path: str, timeout_s: float | None = None) -> _Response:
+    async def _read(self, path: str, timeout_s: float | None = None) -> _Answer:
         limit_s = CALL_TIMEOUT_S if timeout_s is None else timeout_s
         try:
             reply = await self._web.call_json("GET", self._base + path, None, limit_s)
@@ -294,12 +296,12 @@
             raise KVUnavailableError(str(exc)) from exc
         era = self._note_era(reply)
         if era < self.era:
-            raise KVUnavailableError(f"{path}: response of era {era}, now in era {self.era}")
+            raise KVUnavailableError(f"{path}: answered in era {era}, and {self.era} has begun")
         if reply.status in (HTTPStatus.OK, HTTPStatus.NOT_FOUND, HTTPStatus.GONE):
-            return _Response(reply.status, reply.body, era)
+            return _Answer(reply.status, reply.body, era)
         raise KVUnavailableError(f"{path}: status {reply.status}")
 
-    async def _write(self, method: str, path: str, body: object) -> _Response:
+    async def _write(self, method: str, path: str, body: object) -> _Answer:
         try:
             reply = await self._web.call_json(method, self._base + path, body, CALL_TIMEOUT_S)
         except NotSentError as exc:
@@ -310,9 +312,9 @@
         era = self._note_era(reply)
         match reply.status:
             case HTTPStatus.OK if era < self.era:
-                raise KVUnknownError(f"{path}: done in era {era}, now in era {self.era}")
+                raise KVUnknownError(f"{path}: done in era {era}, and {self.era} has begun")
             case HTTPStatus.OK:
-                return _Response(reply.status, reply.body or {}, era)
+                return _Answer(reply.status, reply.body or {}, era)
             case HTTPStatus.NOT_FOUND | HTTPStatus.PRECONDITION_FAILED:
                 raise KVConflictError(f"{path}: status {reply.status}")
             case HTTPStatus.TOO_MANY_REQUESTS | HTTPStatus.SERVICE_UNAVAILABLE:
@@ -321,7 +323,7 @@
                 raise KVUnknownError(f"{path}: status {reply.status}")
 
     def _note_era(self, reply: JsonReply) -> int:
-        """Return a response's era, else the latest known; call `on_restored` if it is new."""
+        """Return an answer's era, else the latest known; a new era calls `on_restored`."""
         text = reply.headers.get(wire.STORE_ERA, b"").strip()
         if not text.isdigit() or len(text) > _MAX_ERA_DIGITS:
             return self.era
@@ -358,7 +360,7 @@
 def _decode_value(text: str) -> bytes:
     """Decode a value; returns invalid base64 as it is.
 
-    The decoder of that item rejects it then, and the other items of the response stay usable.
+    The decoder of that item rejects it then, and the other items of the answer stay usable.
     """
     try:
         return base64.b64decode(text, validate=True)
--- a/gladedrum/platform/tests/test_codecs.py
+++ b/gladedrum/platform/tests/test_codecs.py
@@ -110,8 +110,13 @@
 
 @given(st.lists(st.tuples(_TOKEN, _VALUE), max_size=8))
 def test_end_to_end_headers_are_forwarded_and_hop_by_hop_headers_are_not(headers):
-    own = [*headers, (b"connection", b"x-hop, close"), (b"x-hop", b"1"), (b"helpers", b"evil")]
-    sent = forward_headers(own, None, ForwardMetadata("t1"))
+    from_caller = [
+        *headers,
+        (b"connection", b"x-hop, close"),
+        (b"x-hop", b"1"),
+        (b"helpers", b"evil"),
+    ]
+    sent = forward_headers(from_caller, None, ForwardMetadata("t1"))
     names = [name for name, _ in sent]
     assert b"x-hop" not in names
     assert b"helpers" not in names
--- a/gladedrum/platform/tests/test_directory.py
+++ b/gladedrum/platform/tests/test_directory.py
@@ -13,8 +13,8 @@
 ENGINE = {"name": "e", "kind": "engine", "url": "http://127.0.0.1:2"}
 
 
-class _Reply:
-    """A response of the platform."""
+class _Answer:
+    """An answer of the platform."""
 
     def __init__(self, code, body=b"", tag=""):
         self.code, self.body = code, body
@@ -22,7 +22,10 @@
 
 
 class _Platform:
-    """The platform's lists; replies with 304 to a client that already has the current tag."""
+    """The platform's lists; answers 304 to a client that already has the current tag.
+
+    Requests for the lists in `lost` get no answer.
+    """
 
     def __init__(self):
         self.rows, self.lost = {"boxes": [BOX], "targets": [ENGINE]}, set()
@@ -34,7 +37,7 @@
         body = json.dumps({kind: self.rows[kind]}).encode()
         tag = str(hash(body))
         known = headers.get("if-none-match") == tag
-        return _Reply(304) if known else _Reply(200, body, tag)
+        return _Answer(304) if known else _Answer(200, body, tag)
 
     async def read(self, response, _timeout_s):
         return response.body
@@ -49,15 +52,15 @@
     return results[0]
 
 
-@pytest.mark.parametrize("wrong", ["targets lost", "targets wrong"])
-def test_boxes_are_read_after_a_failed_read_of_the_targets(wrong):
+@pytest.mark.parametrize("failure", ["targets lost", "targets malformed"])
+def test_boxes_are_read_after_a_failed_read_of_the_targets(failure):
     """A tag stored without its rows would hide all boxes until the list changes."""
     lists = _Platform()
     client = DirectoryClient(parse_settings(""), lists)
-    match wrong:
+    match failure:
         case "targets lost":
             lists.lost = {"targets"}
-        case "targets wrong":
+        case "targets malformed":
             lists.rows["targets"] = [{"kind": "engine"}]
     assert read(client) == Directory()
     lists.lost, lists.rows["targets"] = set(), [ENGINE]
--- a/gladedrum/platform/tests/test_statements.py
+++ b/gladedrum/platform/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""Statements of targets are parsed from response headers; malformed ones have no effect."""
+"""Statements of targets are parsed from the headers of answers; malformed ones have no effect."""
 
 import pytest
 
--- a/gladedrum/platform/tests/test_store.py
+++ b/gladedrum/platform/tests/test_store.py
@@ -14,8 +14,8 @@
 """The first revision of a new stand-in."""
 
 
-class _Silenceable(protocol.Protocol):
-    """A connection to an empty store; it can stop responding without being closed."""
+class _EmptyStoreConnection(protocol.Protocol):
+    """A connection to an empty store; it can stop answering without being closed."""
 
     def dataReceived(self, data):
         if self not in self.factory.silent:
@@ -27,12 +27,12 @@
 
 
 class SilentConnectionsTest(TestCase):
-    """Open connections stop responding without a reset, while new ones work."""
+    """Open connections stop answering without a reset, while new ones work."""
 
     timeout = 20
 
     async def setUp(self):
-        self.factory = protocol.Factory.forProtocol(_Silenceable)
+        self.factory = protocol.Factory.forProtocol(_EmptyStoreConnection)
         self.factory.opened, self.factory.silent = [], []
         self.listening = reactor.listenTCP(0, self.factory, interface="127.0.0.1")
         self.web = WebClient(reactor)
@@ -93,7 +93,7 @@
         assert await self.kv.swap("a", b"2", revision) > revision
         assert list(await self.kv.get_prefix("a")) == ["a"]
 
-    async def test_write_without_a_response_is_unknown_and_may_have_taken_effect(self):
+    async def test_write_without_an_answer_is_unknown_and_may_have_taken_effect(self):
         self.service.switches.lose_answers = 1
         await self.assertFailure(start(self.kv.swap("a", b"1", ABSENT)), KVUnknownError)
         assert (await self.kv.get("a")).value == b"1"
@@ -195,7 +195,7 @@
         await self.assertFailure(start(self.kv.get("a")), KVUnavailableError)
         assert self.kv.era == 2
 
-    async def test_late_response_of_an_earlier_era_is_ignored(self):
+    async def test_late_answer_of_an_earlier_era_is_ignored(self):
         await self.kv.get("a")
         self.service.switches.delay_s = 0.3
         waiting = start(self.kv.get("a"))
--- a/gladedrum/platform/wire.py
+++ b/gladedrum/platform/wire.py
@@ -2,7 +2,7 @@
 
 __all__: list[str] = []
 
-# Headers of requests and responses, in lower case as h11 returns them.
+# Headers of requests and answers, in lower case as h11 returns them.
 REQUEST_ID = b"x-gladedrum-request-id"
 DEADLINE_MS = b"x-gladedrum-deadline-ms"
 TOKEN_USAGE = b"x-gladedrum-token-usage"
@@ -15,7 +15,7 @@
 RATE_LIMIT = b"server-limit"
 LEAVING = b"server-leaving"
 RETRY_AFTER = b"retry-after"
-SIGNATURE = b"x-gladedrum-response-seal"
+SIGNATURE = b"x-gladedrum-response-seal"  # Set by targets; boxes forward it unchanged.
 PRIORITY = b"priority"
 HELPERS = b"helpers"
 EXPECTED_VERSION = b"expect-version"
@@ -34,7 +34,7 @@
 STORE_KEEP = "/api/kv-keep/"
 STORE_LEASE_END = "/api/kv-lease-end/"
 
-# Headers of the store's responses.
+# Headers of the store's answers.
 STORE_ERA = b"store-era"
 
 # Keys in the store that the operator and the targets write.
