--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -1,4 +1,8 @@
-"""Choice of targets for a request, by a placement policy."""
+"""Choice of targets for a request, by a placement policy.
+
+A *plain service* is one without engines. Its requests go to the target with the lowest cost;
+requests for engines are placed by the policy that the table sets.
+"""
 
 import hashlib
 import logging
@@ -34,7 +38,7 @@
 """Targets with a higher distrust (0 to 1) are used only if there are no others."""
 
 SLOT_SHARE_COST_S = 0.05
-"""Cost of load at a plain service, in seconds for a target whose slots are all taken."""
+"""Cost of a target of a plain service whose slots are all taken, in seconds; linear in the load."""
 
 REMOTE_HALL_COST_S = 0.001
 """Cost of a target in another data hall at a plain service, in seconds."""
@@ -58,24 +62,24 @@
     first_due_s : float
         Deadline of its answer, or of the first event of a stream, by the monotonic clock.
     pause_limit_s : float
-        Target value of the longest pause between events, in seconds.
+        Longest acceptable pause between events, in seconds.
     data_hall : str
         Data hall of the sending box.
     policy : str
         Name of the placement policy that the table sets for it.
     lost_s : float
-        When its caller leaves if no event has arrived, or when its answer can no longer complete in
-        time; by the monotonic clock.
+        Time by the monotonic clock from which serving it is useless: its caller leaves if no event
+        has arrived, or its answer can no longer complete in time.
     committed : bool
-        Whether it may have run somewhere, so that it can't be refused as not run.
+        Whether an earlier attempt may have run, so that a refusal can't state that nothing ran.
     connected : frozenset of str
         Targets to which the sending box holds an idle connection.
     digest : bytes
         Digest of its content, if the sending box suspects any request of ending targets; else
         empty.
     closed : mapping of str to float
-        Targets that take no request from the sending box now, and for how many seconds: because of
-        their rate limits, or because they asked it to rest (to send nothing for a while).
+        Targets that take no request from the sending box now, because of their rate limits or
+        because they asked it for a backoff, and for how many more seconds.
     """
 
     service: Service
@@ -106,7 +110,7 @@
     reserved : bool
         Whether the helpers must reserve memory.
     loss : float
-        Credit that is expected to be lost.
+        Expected loss of worth, see `scheduling.expected_loss`.
     first_event_s, pause_s : float
         Predicted time to the first event, and longest pause after it, in seconds; 0 for a plain
         service.
@@ -134,12 +138,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CannotServeInTime:
-    """No target can serve the request before its caller leaves.
+    """Not placed: no target is likely to begin the answer before the caller leaves.
 
     Parameters
     ----------
     come_back_s : float
-        Seconds until a target could serve it.
+        Seconds until a target could serve the request.
     """
 
     come_back_s: float
@@ -147,12 +151,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CondemnedRequest:
-    """The request is condemned: it ends the targets that run it.
+    """Not placed: the request is condemned, since it ends the targets that run it.
 
     Parameters
     ----------
     come_back_s : float
-        Seconds until it may be tried again.
+        Seconds until the request may be tried again.
     """
 
     come_back_s: float
@@ -160,26 +164,32 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectOnHold:
-    """The request is suspected of ending targets and must wait before it may run again."""
+    """Not placed: the request is suspected of ending targets, and its other run is not settled yet.
+
+    Parameters
+    ----------
+    reason : str
+        Reason that the caller gets if the request can't wait any longer.
+    """
 
     reason: str = "another run of it, or the word on its last one, is awaited"
 
 
 @dataclass(frozen=True, slots=True)
 class AllTargetsClosed:
-    """No target takes another request now, because of rate limits and rests.
+    """Not placed: no target takes another request now, because of rate limits and backoffs.
 
     Parameters
     ----------
     come_back_s : float
-        Seconds until the first target takes one.
+        Seconds until the first target takes a request.
     """
 
     come_back_s: float
 
 
 NoPlacement = CannotServeInTime | CondemnedRequest | SuspectOnHold | AllTargetsClosed
-"""Why a request is not placed although targets may have room."""
+"""Why a request is not placed now; a choice of None means that no target has room."""
 
 
 class Chooser:
@@ -214,7 +224,7 @@
         self._view = view
 
     def choose(self, demand: Demand, tried: Sequence[str]) -> Choice | None:
-        """Return the best choice now, None if there is none; targets in `tried` are used last."""
+        """Return the best open target, None if there is none; targets in `tried` come last."""
         now_s = self._clock.seconds()
         listed = self._open_targets(demand, now_s)
         fresh = [entry for entry in listed if entry.name not in tried] if tried else listed
@@ -236,7 +246,7 @@
         return min(max(closed.get(e.name, 0.0), demand.closed.get(e.name, 0.0)) for e in listed)
 
     def all_rest_s(self, demand: Demand) -> float | None:
-        """Return the seconds until the first rest ends if all targets rest, else None."""
+        """Return the seconds until the first backoff ends if all targets are in one, else None."""
         listed = self._usable_targets(demand.service.name)
         if not listed or any(entry.name not in demand.closed for entry in listed):
             return None
@@ -250,7 +260,7 @@
         return any(entry.service == service for entry in self._targets.entries.values())
 
     def _open_targets(self, demand: Demand, now_s: float) -> list[TargetEntry]:
-        """Return the usable targets that take a request now, given their rate limits and rests.
+        """Return the usable targets that take a request now, given rate limits and backoffs.
 
         All lists of candidates are subsets of this one. A target that is closed would refuse the
         request, which would have to be placed again.
@@ -260,7 +270,7 @@
         return [entry for entry in listed if entry.name not in closed] if closed else listed
 
     def standing(self, demand: Demand) -> Standing:
-        """Return whether the request is suspected of ending targets."""
+        """Return how strongly the request is suspected of ending targets."""
         if not demand.digest:
             return Standing.CLEAR
         return self._view.suspects.standing(demand.digest, self._clock.seconds())
@@ -270,7 +280,7 @@
 
         A request to an engine waits from its first loss on while another run of it is under way. A
         request to a plain service waits only from the second loss on: identical plain requests are
-        common, and most requests lost with a target once are innocent.
+        common, and most requests that were lost with a target once did not cause its end.
         """
         if not demand.digest:
             return None
@@ -292,7 +302,7 @@
         return any(plan.digest == digest for plan in plans)
 
     def record_choice(self, work_id: str, demand: Demand, choice: Choice) -> WorkPlan:
-        """Record a choice in the ledgers and return the plan."""
+        """Record a choice in the ledgers of its targets; return the plan that was recorded."""
         now_s = self._clock.seconds()
         standing = self.standing(demand)
         plan = WorkPlan(
--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -1,10 +1,12 @@
 """The record of condemned requests in the platform's store, for boxes that start without peers.
 
-A box that starts normally learns the condemned requests from running boxes. If all boxes are lost
-at once, only the store still has them; without it, each condemned request would end three more
-targets after every such loss. The boxes that read the target list for the others write the record,
-under a lease, once per condemned request. A box reads it if its peers know nothing. This costs two
-calls per reader and condemned request, and one for each start of a whole fleet.
+A request is *condemned*, and refused for a while, once it has ended several targets that ran it
+(see `scheduling.suspects`). A starting box learns the condemned requests from running boxes. After
+a restart of the whole fleet only the store still has them; without the record, each of them would
+end three more targets. The list readers, the boxes that read the target list for all others
+(`CoordinatorGroup.readers`), write the record under a lease, once per condemned request. A starting
+box reads it if no peer informs it. This costs two calls per list reader and condemned request, and
+one for each start of a whole fleet.
 """
 
 import json
@@ -28,16 +30,16 @@
 """How often a starting box checks whether peers have informed it, in seconds."""
 
 PEER_WAIT_S = 3.0
-"""How long a box that does not read for others waits for peers before it reads the record, in
-seconds. This is no longer than the time after which peers expect it to be informed (3 s on small
+"""How long a box that is no list reader waits for peers before it reads the record, in seconds.
+This is no longer than the time after which peers expect it to be informed (3 s on small
 sites, 5 s on large ones)."""
 
 RETRY_PAUSE_S = 1.0
 """Pause after a failed call, in seconds."""
 
 MAX_ATTEMPTS = 20
-"""Number of attempts to write a record. After that, the other reader has written it, or the store
-has been unavailable for half a minute."""
+"""Number of attempts to write a record. After that, the other list reader has written it, or the
+store has been unavailable for half a minute."""
 
 _STORE_ERRORS = (KVUnavailableError, KVUnknownError, KVConflictError)
 
@@ -45,20 +47,20 @@
 
 
 class CondemnedRecord:
-    """Writes and reads the record.
+    """Writes each newly condemned request to the record, and reads the record on a start.
 
     Parameters
     ----------
     clock : IReactorTime
-        The process's clock.
+        A monotonic clock.
     store : StoreClient
         The store that holds the record.
     registry : BoxRegistry
-        Knows whether the other boxes are known yet.
+        Its revision shows whether the list of boxes has been read yet.
     suspicion : Suspicion
-        Receives what is read; reports what is condemned and lifted.
+        Receives the losses that are read; reports condemned and lifted requests.
     is_reader : callable
-        Whether this box reads the target list for others.
+        Returns whether this box is a list reader.
     """
 
     def __init__(
@@ -85,7 +87,7 @@
             self._note_condemned(row)
 
     async def run(self) -> None:
-        """Load the condemned requests, from peers or from the store."""
+        """Wait until peers have sent the condemned requests, else read them from the store."""
         since_s = self._clock.seconds()
         while not self._suspicion.is_informed:
             if self._should_read(self._clock.seconds() - since_s):
@@ -111,7 +113,7 @@
             return
         losses = [loss for item in listing.items for loss in self._losses_of(item)]
         self._recorded |= {loss.digest for loss in losses}
-        self._suspicion.take_recorded(losses)
+        self._suspicion.add_recorded(losses)
 
     def _losses_of(self, item: StoredItem) -> Iterator[Loss]:
         """Yield the losses in an item, dated now since the store keeps no ages."""
--- a/gladedrum/placing/members.py
+++ b/gladedrum/placing/coordinator_client.py
@@ -1,4 +1,4 @@
-"""Questions to the members of the coordinator group: timeouts, and members that are skipped."""
+"""A client that asks coordinators for placements, and skips those that did not answer."""
 
 import logging
 from typing import NamedTuple
@@ -12,11 +12,11 @@
 from ..scheduling.questions import AnswerTimes
 from .work_plan import WorkPlan, note_from_plan
 
-__all__ = ["MemberClient"]
+__all__ = ["CoordinatorClient"]
 
 AVOIDANCE_S = 2.0
-"""How long a member that did not answer is not asked, in seconds. A late answer ends this early,
-and its member is given a longer timeout."""
+"""How long a coordinator that did not answer is not asked, in seconds. A late answer ends this
+early, and its sender gets a longer timeout."""
 
 MAX_ABANDONED = 1024
 """Maximum number of timed-out questions that are remembered, so that late answers can be
@@ -26,21 +26,21 @@
 
 
 class _Asked(NamedTuple):
-    """The member that a question was sent to, and when."""
+    """The coordinator that a question was sent to, and when."""
 
     member: str
     sent_s: float
 
 
-class MemberClient:
-    """Asks members for placements, and withdraws placements that are not used.
+class CoordinatorClient:
+    """Asks coordinators for placements, and withdraws placements that this box does not use.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : CoordinatorGroup
-        Knows the members' addresses.
+    coordinators : CoordinatorGroup
+        Provides the coordinators' addresses.
     port : GossipPort
         Sends datagrams to them.
     """
@@ -57,11 +57,11 @@
         self._avoided_until_s: dict[str, float] = {}
 
     def is_available(self, member: str) -> bool:
-        """Whether a member may be asked, since it has not recently failed to answer."""
+        """Whether a coordinator may be asked; not for `AVOIDANCE_S` after a missing answer."""
         return self._avoided_until_s.get(member, 0.0) <= self._clock.seconds()
 
     async def ask(self, member: str, note: AskNote) -> ChoiceNote | None:
-        """Return a member's answer, None if it does not arrive in time or the member has gone."""
+        """Return a coordinator's answer, None if it is late or the coordinator has gone."""
         address = self._coordinators.address(member)
         if address is None:
             return None
@@ -82,7 +82,7 @@
         return answer
 
     def receive(self, note: ChoiceNote) -> None:
-        """Process a member's answer, in time or late."""
+        """Process a coordinator's answer, in time or late."""
         waiting = self._waiting.pop(note.work_id, None)
         if waiting is not None:
             waiting.callback(note)
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -1,9 +1,13 @@
 """State of all targets as known on this box: their work, reports, rate limits and failures.
 
-The target list itself is in `beliefs`. Terms: *distrust* is the estimated probability that a target
-fails a request; a *rest* is a period in which a target takes nothing from this box; a target is
-*closed* while its rate limit allows no further request; `born` identifies one start of a target's
-process.
+The target list itself is in `beliefs`. Terms:
+
+- *Distrust* is the estimated probability that a target fails a request.
+- A target is *silent*, or suspect, while its load reports are missing. A *suspected request* is
+  something else: a request that may end the targets that run it, see `suspicion`.
+- A *backoff* is a period in which a target takes nothing from this box, because it asked for that.
+- A target is *closed* while its rate limit allows no further request.
+- `born` identifies one start of a target's process.
 """
 
 import logging
@@ -33,23 +37,23 @@
 DISTRUST_DECAY_S = 4.0
 """Distrust decays to a third in this time, in seconds, so that recovered targets get work again."""
 
-BELIEVE_SILENT_AFTER_S = 1.4
-"""A peer's note that an engine is silent is believed if no box has had a report from it for this
-long, in seconds. This is longer than the next reader needs to ask (1.3 s), so that a broken link
-between an engine and its reader does not make all boxes suspect it, and shorter than two questions
-that time out (1.5 s), so that an engine that is silent is detected without extra delay."""
+MIN_SILENT_REPORT_AGE_S = 1.4
+"""Age of an engine's last report, in seconds, from which a peer's note that the engine is silent is
+believed. This is longer than the next reader takes to poll it (1.3 s), so that a broken link
+between an engine and its reader does not make all boxes suspect it, and shorter than two polls that
+time out (1.5 s), so that a silent engine is detected without extra delay."""
 
 MIN_REFUSED_BOXES = 2
 """An engine that has refused connections from this many boxes counts as silent, since its process
-has probably ended. A refusal to one box may be a fault of the link, so the next reader asks at
-once."""
+has probably ended. A refusal to one box may be a fault of the link, so the next reader polls
+it at once."""
 
 REFUSAL_LIFETIME_S = 1.0
 """How long a refused connection counts, in seconds: two report intervals and a network delay."""
 
 START_KNOWN_WITHIN_S = 1.0
 """Time within which a restart of a target normally becomes known, in seconds: two report intervals
-and a network delay. Work sent there within that time may run on the later start."""
+and a network delay. Work sent there within that time may run on the new process."""
 
 MIN_UNKNOWN_TOKENS = 24_000
 """Reported memory beyond the known work counts as unknown work from this many tokens on. Smaller
@@ -57,11 +61,11 @@
 
 SUSPECT_RUN_TIMEOUT_S = 5.0
 """How long a run of a suspected request counts as under way if no end is reported, in seconds. A
-request that ends its target does so within a second. Without this limit, a placement whose asker
-never got the answer would block the request for the 40 s that ledgers keep it."""
+request that ends its target does so within a second. Without this limit, a placement whose
+answer never reached the asking box would block the request for the 40 s that ledgers keep it."""
 
-MAX_REST_S = 300.0
-"""Maximum rest of a target, in seconds; a longer one is cut to this."""
+MAX_BACKOFF_S = 300.0
+"""Maximum backoff, in seconds; longer ones are cut to this."""
 
 _NEVER_CLOSED_S = float("-inf")
 
@@ -91,7 +95,7 @@
     distrust_updated_s : float
         When `distrust` was last updated.
     silent : bool
-        Whether its last report is missing.
+        Whether its reports are missing, as found by this box's polls or told by peers.
     refused_s : dict of str to float
         The boxes whose connections it has refused since its last report, and when.
     born : int
@@ -119,7 +123,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it did not answer when it was asked for a report.
+        """Whether it is silent, that is, did not answer polls.
 
         The age of a report is not evidence: the box that reads the reports may have stopped.
         """
@@ -143,8 +147,8 @@
         return max(decayed, UNREACHABLE_DISTRUST) if self.silent else decayed
 
 
-class _Rest(NamedTuple):
-    """Until when a start of a target takes nothing from this box.
+class _Backoff(NamedTuple):
+    """Until when one start of a target takes nothing from this box.
 
     Stored apart from `TargetState`, which is dropped when the target's entry lapses.
     """
@@ -154,7 +158,7 @@
 
 
 class FleetView:
-    """The state of all targets, from this box's own requests and from peers' notes.
+    """Combines what this box's own requests and peers' notes show of the targets.
 
     Parameters
     ----------
@@ -181,10 +185,10 @@
         self._suspect_plans: dict[str, WorkPlan] = {}
         self._states: dict[str, TargetState] = defaultdict(TargetState)
         self._rate_limited: set[str] = set()
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     def state(self, target: str) -> TargetState:
-        """Return the state of a target, created on first use."""
+        """Return the state of a target; a default state if nothing is known of it."""
         return self._states[target]
 
     def forget(self, target: str) -> None:
@@ -331,26 +335,26 @@
     def note_rest(self, target: str, for_s: float, now_s: float) -> None:
         """Record that a target takes nothing from this box for `for_s` seconds.
 
-        The rest is cut to `MAX_REST_S`; of overlapping rests, the later end counts.
+        The backoff is cut to `MAX_BACKOFF_S`; of overlapping backoffs, the later end counts.
         """
-        rest_s = max(self.rest_s(target, now_s), min(for_s, MAX_REST_S))
-        self._rests[target] = _Rest(self._states[target].born, now_s + rest_s)
-        extra = {"target": target, "for_s": for_s, "left_s": round(rest_s, 3)}
-        _log.info("target asked for rest", extra=extra)
+        left_s = max(self.rest_s(target, now_s), min(for_s, MAX_BACKOFF_S))
+        self._backoffs[target] = _Backoff(self._states[target].born, now_s + left_s)
+        extra = {"target": target, "for_s": for_s, "left_s": round(left_s, 3)}
+        _log.info("target asked for backoff", extra=extra)
 
     def rest_s(self, target: str, now_s: float) -> float:
-        """Return the remaining rest of a target in seconds, 0 if it takes requests."""
-        rest = self._rests.get(target)
-        if rest is None or 0 < rest.born < self._states[target].born:
+        """Return the remaining backoff of a target in seconds, 0 if there is none."""
+        backoff = self._backoffs.get(target)
+        if backoff is None or 0 < backoff.born < self._states[target].born:
             return 0.0
-        return max(0.0, rest.until_s - now_s)
+        return max(0.0, backoff.until_s - now_s)
 
     def rests(self, now_s: float) -> dict[str, float]:
-        """Return the targets that are resting now, and for how many more seconds."""
-        left_s = {name: self.rest_s(name, now_s) for name in self._rests}
+        """Return the targets that are in backoff now, and for how many more seconds."""
+        left_s = {name: self.rest_s(name, now_s) for name in self._backoffs}
         for name in [name for name, for_s in left_s.items() if not for_s]:
-            del self._rests[name]
-            _log.info("rest of target ended", extra={"target": name})
+            del self._backoffs[name]
+            _log.info("backoff of target ended", extra={"target": name})
         return {name: for_s for name, for_s in left_s.items() if for_s}
 
     def note_closed(self, target: str, for_s: float, now_s: float) -> None:
@@ -359,7 +363,7 @@
         state.closed_until_s = max(state.closed_until_s, now_s + for_s)
 
     def note_start(self, target: str, born: int, now_s: float) -> bool:
-        """Record the start of a target that was seen; return whether it is the latest one.
+        """Record that a start of a target was seen; return whether it is the latest known.
 
         A later start discards the state of the earlier one: report, distrust, rate limit, and the
         work placed longer ago than `START_KNOWN_WITHIN_S`.
@@ -376,9 +380,9 @@
         self.suspects.note_ended(TargetStart(target, state.born), now_s)
         self._states[target] = TargetState(state.ledger, born=born)
         self._rate_limited.discard(target)
-        placed = [row.work_id for row in state.ledger.rows.values()
-                  if now_s - row.placed_s > START_KNOWN_WITHIN_S]  # fmt: skip
-        for work_id in placed:
+        lost = [row.work_id for row in state.ledger.rows.values()
+                if now_s - row.placed_s > START_KNOWN_WITHIN_S]  # fmt: skip
+        for work_id in lost:
             state.ledger.remove(work_id)
         self.on_restart(target)
         return True
@@ -400,7 +404,7 @@
                 self._take_work(note, message.box or "", now_s)
         for note in message.reports or ():
             if note.target in known:
-                self._take_report(note, message.box or "", now_s)
+                self._apply_report_note(note, message.box or "", now_s)
 
     def _take_work(self, note: WorkNote, box: str, now_s: float) -> None:
         plan = plan_from_note(note)
@@ -420,14 +424,14 @@
             case gossip.WITHDRAWN:
                 self.note_ended(plan)
 
-    def _take_report(self, note: ReportNote, box: str, now_s: float) -> None:
+    def _apply_report_note(self, note: ReportNote, box: str, now_s: float) -> None:
         if note.born and note.born < self._states[note.target].born:
             return
         if note.refused:
             self.note_refused(note.target, box, now_s)
             return
         if not note.answered:
-            if now_s - self._states[note.target].reported_s > BELIEVE_SILENT_AFTER_S:
+            if now_s - self._states[note.target].reported_s > MIN_SILENT_REPORT_AGE_S:
                 self.note_report(note.target, None, now_s)
             return
         report = TargetReport(
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -1,8 +1,9 @@
-"""Placement of requests, decided on this box or by a decider that it asks.
+"""Placement of requests, decided on this box or by a coordinator that it asks.
 
-A few boxes, the members of the coordinator group (the `CoordinatorGroup`), hear of all work in the fleet and
-decide for the others. The group improves placements but is not required: a member that does not
-answer in time is skipped, and in the end the box decides from its own state.
+The members of the `CoordinatorGroup`, the *coordinators*, receive notes on all work in the fleet
+and decide for the other boxes. The box that decides on a request is its *decider*. The group
+improves placements but is not required: a coordinator that does not answer in time is skipped, and
+in the end the box decides from its own state.
 """
 
 import logging
@@ -29,34 +30,35 @@
     NoPlacement,
     SuspectOnHold,
 )
+from .coordinator_client import CoordinatorClient
 from .fleet_view import FleetView
-from .members import MemberClient
 from .work_plan import WorkPlan, note_from_plan
 
 __all__ = ["Placer"]
 
 MAX_MEMBERS_ASKED = 2
-"""Number of members that are asked before a box decides alone."""
+"""Number of coordinators that are asked before a box decides alone."""
 
 LONG_PROMPT_TOKENS = 30_000
-"""Prompts of at least this many tokens are placed by a single box, the arbiter: two boxes that
-place long prompts at the same moment would pick the same idle engines."""
+"""Prompts of at least this many tokens are placed by a single box, the first of
+`CoordinatorGroup.ranked_members`: two boxes that place long prompts at the same moment would pick
+the same idle engines."""
 
 MAX_LOST_CHANCE = 0.9
 """A request is refused at once if the probability that its caller leaves before the first event is
 higher than this on the targets that serve it best. Serving it would only delay other requests."""
 
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.25, 10.0
-"""Bounds of the retry delay that such a caller is given, in seconds: a few engine passes, and the
-longest time that callers wait."""
+"""Bounds of Retry-After for a request that is refused because of `MAX_LOST_CHANCE`, in seconds: a
+few engine passes, and the longest time that callers wait."""
 
 WARM_UP_S = 3.0
-"""How long a box lets others decide after it starts to receive notes on all work, in seconds. By
-then, most requests that it has not heard of have ended."""
+"""How long a box is *cold* after it starts to receive notes on all work, in seconds. A cold box
+lets others decide. After this time, most requests that it does not know of have ended."""
 
 MAX_QUESTION_AGE_S = 0.03
-"""Questions that have waited longer than this on this box are not decided, in seconds: the asking
-box may have moved on before the answer arrives."""
+"""A peer's question that has waited longer than this, in seconds, is answered "busy": the peer may
+have given up before a decision arrives."""
 
 _log = logging.getLogger(__name__)
 
@@ -69,13 +71,13 @@
 
 
 class Placer:
-    """Places requests, locally or by asking a member of the coordinator group.
+    """Places requests, locally or by asking a coordinator.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : CoordinatorGroup
+    coordinators : CoordinatorGroup
         The coordinator group.
     chooser : Chooser
         Chooses targets on this box.
@@ -107,7 +109,7 @@
         self._view = view
         self._port = port
         self._service_of = service_of
-        self._members = MemberClient(clock, coordinators, port)
+        self._client = CoordinatorClient(clock, coordinators, port)
         self._questions: WaitingQuestions[_Question] = WaitingQuestions(MAX_QUESTION_AGE_S)
         self._member_since_s: float | None = clock.seconds()
 
@@ -134,7 +136,7 @@
             # One per reactor turn, so that arriving datagrams are read between decisions.
             self._clock.callLater(0, self._answer_next)
         for note in message.choices or ():
-            self._members.receive(note)
+            self._client.receive(note)
 
     def _answer_next(self) -> None:
         """Answer the latest question; reply "busy" at once if it has waited too long."""
@@ -146,9 +148,9 @@
     def _decide(
         self, work_id: str, demand: Demand, tried: Sequence[str]
     ) -> tuple[Choice, WorkPlan] | NoPlacement | None:
-        objection = self._chooser.suspect_refusal(demand)
-        if objection is not None:
-            return objection
+        refusal = self._chooser.suspect_refusal(demand)
+        if refusal is not None:
+            return refusal
         choice = self._chooser.choose(demand, tried)
         if choice is None:
             reopens_s = self._chooser.reopens_s(demand)
@@ -176,19 +178,19 @@
             return []
         else:
             members = self._members_ranked_for(work_id)
-        return [member for member in members if self._members.is_available(member)]
+        return [member for member in members if self._client.is_available(member)]
 
     def _members_ranked_for(self, text: str) -> list[str]:
-        """Return the members in an order that depends on `text` and is the same on all boxes."""
+        """Return the coordinators in an order given by `text`, which is the same on all boxes."""
         return sorted(self._coordinators.members(), key=lambda name: rank(f"{name}|{text}"))
 
     async def _ask_deciders(
         self, deciders: Sequence[str], work_id: str, demand: Demand, tried: Sequence[str]
     ) -> tuple[str, Choice | NoPlacement] | None:
-        """Return the id used and the choice of one of `deciders`; None to decide on this box.
+        """Return the work id and the choice of one of `deciders`; None to decide on this box.
 
-        Each question has its own id. If a member answers too late, it has already recorded the work
-        under that id, and the record is withdrawn.
+        Each question has its own work id. A coordinator that answers too late has already recorded
+        the work under that id, and the record is withdrawn.
         """
         note = self._ask_note(work_id, demand, tried)
         cold, asked = [], 0
@@ -202,7 +204,7 @@
                 break
             asked += 1
             note.work_id = f"{work_id}.{asked}"
-            answer = await self._members.ask(member, note)
+            answer = await self._client.ask(member, note)
             if answer is not None and not answer.cold and not answer.busy:
                 return self._accept(answer, member)
             if answer is not None and answer.cold:
@@ -214,21 +216,21 @@
     async def _ask_cold_member(
         self, member: str, note: AskNote, work_id: str
     ) -> tuple[str, Choice | NoPlacement] | None:
-        """Return the choice of a cold member, used if no decider knows the fleet's work.
+        """Return the choice of a cold coordinator, asked if no other one has decided.
 
-        Asking the first one makes it record this placement, so that its next decisions include it.
+        It records the placement, so that its next decisions take this work into account.
         """
         note.insists = True
         note.work_id = f"{work_id}.0"
-        answer = await self._members.ask(member, note)
+        answer = await self._client.ask(member, note)
         return None if answer is None else self._accept(answer, member)
 
     def _accept(self, note: ChoiceNote, member: str) -> tuple[str, Choice | NoPlacement] | None:
         choice = self._choice_from_note(note, member)
         if choice is not None:
             return note.work_id, choice
-        # A chosen target is leaving, resting (takes nothing from this box now), or unknown here.
-        self._members.withdraw(note)
+        # A chosen target is leaving, in backoff for this box, or unknown here.
+        self._client.withdraw(note)
         return None
 
     def _ask_note(self, work_id: str, demand: Demand, tried: Sequence[str]) -> AskNote:
@@ -291,8 +293,8 @@
         )
 
     def _usable_entry(self, name: str) -> TargetEntry | None:
-        rests = self._view.rest_s(name, self._clock.seconds())
-        usable = self._targets.accepts_requests(name) and not rests
+        in_backoff = self._view.rest_s(name, self._clock.seconds())
+        usable = self._targets.accepts_requests(name) and not in_backoff
         return self._targets.entries.get(name) if usable else None
 
     def _answer_question(self, ask: AskNote) -> ChoiceNote:
@@ -320,7 +322,7 @@
         return _note_from_placement(ask.work_id, placed, self._rate_of(placed))
 
     def _rate_of(self, placed: tuple[Choice, WorkPlan] | NoPlacement | None) -> float | None:
-        """Return the rate limit named by the target of a placement, None if there is none."""
+        """Return the rate limit of the chosen target, None if it names none."""
         if placed is None or isinstance(placed, NoPlacement):
             return None
         rate = self._view.state(placed[0].main.name).rate
@@ -333,14 +335,14 @@
     match placed:
         case None:
             return ChoiceNote(work_id, [])
-        case CannotServeInTime(come_back_s=come_back_s):
-            return ChoiceNote(work_id, [], come_back_s=come_back_s)
-        case CondemnedRequest(come_back_s=come_back_s):
-            return ChoiceNote(work_id, [], condemned_s=come_back_s)
+        case CannotServeInTime(come_back_s=wait_s):
+            return ChoiceNote(work_id, [], come_back_s=wait_s)
+        case CondemnedRequest(come_back_s=wait_s):
+            return ChoiceNote(work_id, [], condemned_s=wait_s)
         case SuspectOnHold():
             return ChoiceNote(work_id, [], held=True)
-        case AllTargetsClosed(come_back_s=come_back_s):
-            return ChoiceNote(work_id, [], closed_s=come_back_s)
+        case AllTargetsClosed(come_back_s=wait_s):
+            return ChoiceNote(work_id, [], closed_s=wait_s)
         case choice, _plan:
             return ChoiceNote(
                 work_id,
--- a/gladedrum/placing/repeat_pool.py
+++ b/gladedrum/placing/repeat_pool.py
@@ -1,11 +1,12 @@
-"""The fleet-wide retry budget: this box's share, and what members of the group have left of theirs.
-
-A *repeat* is a further attempt of a request (a retry or a hedge). The budget is a ratio of requests
-plus a slack. In a large fleet, an even split of the slack would leave each box a repeat or two: too
-few where many requests fail at once, and unused elsewhere. There, the members of the coordinator
-group hold the slack, and other boxes ask one of them for each repeat beyond their own ratio. In a
-small fleet each box has a share, and asks others once it is empty. A repeat is taken from the share
-of the box that grants it, so the total stays within the budget whichever box sends it.
+"""The fleet-wide retry budget: retries from this box's share, or granted from another box's share.
+
+A *retry* is any further attempt of a request, hedges included; messages, log lines and metrics call
+it a repeat. The budget is a ratio of requests plus a slack. In a large fleet, an even split of the
+slack would leave each box one or two retries: too few where many requests fail at once, and unused
+elsewhere. There, the coordinators hold the slack, and other boxes ask one of them for each retry
+beyond their own ratio. In a small fleet each box has a share, and asks others once it is empty. A
+retry is taken from the share of the box that grants it, so the total stays within the budget
+whichever box sends it.
 """
 
 import itertools
@@ -25,12 +26,12 @@
 __all__ = ["Grant", "RepeatPool", "sharers_of"]
 
 MAX_MEMBERS_ASKED = 2
-"""Number of members that are asked for a repeat. Each holds a part of the slack and one may be
-slow. A stream whose engine has died is lost without a repeat."""
+"""Number of coordinators that are asked for a retry: the first may be slow, or have spent its part
+of the slack, and a stream whose engine has died is lost without a retry."""
 
 MAX_MEMBERS_ASKED_SMALL_FLEET = 4
 """Same for a small fleet, where shares are smaller, and those of recently started boxes smaller
-still. The search ends after `MAX_MEMBERS_ASKED` silent members, so it takes no longer than in a
+still. The search ends after `MAX_MEMBERS_ASKED` missing answers, so it takes no longer than in a
 large fleet."""
 
 _log = logging.getLogger(__name__)
@@ -44,27 +45,27 @@
 
 
 class Grant(Enum):
-    """Which box's share a repeat was taken from."""
+    """Which box's share a retry was taken from."""
 
     OWN = "own"
     PEER = "a peer's"
 
 
 class RepeatPool:
-    """Takes repeats from this box's share or from a member's.
+    """Takes retries from this box's share or from that of a coordinator.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
-    circle : CoordinatorGroup
-        The coordinator group, whose members hold the slack.
+    coordinators : CoordinatorGroup
+        The coordinator group, which holds the slack.
     port : GossipPort
         Sends datagrams to other boxes.
     shares : RepeatShares
         This box's share.
     rng : random.Random
-        Selects the members to ask.
+        Selects the coordinators to ask.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         self._shares.note_request(service, self._clock.seconds())
 
     async def take(self, service: str) -> Grant | None:
-        """Take one repeat; return None if there is none left."""
+        """Take one retry; return None if there is none left."""
         if self._shares.take(service, self._clock.seconds()):
             return Grant.OWN
         if await self._ask(service):
@@ -98,10 +99,10 @@
         return None
 
     def give_back(self, service: str, grant: Grant) -> None:
-        """Return a repeat that was not sent.
+        """Return a retry that was not sent.
 
         One granted by a peer is lost: the peer's share has been refilled since, and returning the
-        repeat would exceed the fleet's budget.
+        retry would exceed the fleet's budget.
         """
         if grant is not Grant.PEER:
             self._shares.give_back(service, self._clock.seconds())
@@ -117,7 +118,7 @@
                 waiting.callback(bool(grant.granted))
 
     async def _ask(self, service: str) -> bool:
-        """Ask members in turn until one grants a repeat or `MAX_MEMBERS_ASKED` are silent."""
+        """Ask coordinators until one grants a retry or `MAX_MEMBERS_ASKED` do not answer."""
         silent = 0
         for address in self._addresses_to_ask():
             granted = await self._ask_member(address, service)
@@ -141,7 +142,7 @@
                 yield address
 
     async def _ask_member(self, address: tuple[str, int], service: str) -> bool | None:
-        """Return whether a member grants a repeat, None if it does not answer in time."""
+        """Return whether a coordinator grants a retry, None if it does not answer in time."""
         ask_id = next(self._ids)
         waiting: defer.Deferred[bool | None] = defer.Deferred()
         waiting.addTimeout(
--- a/gladedrum/placing/repeats.py
+++ b/gladedrum/placing/repeats.py
@@ -1,8 +1,9 @@
 """This box's share of the fleet-wide retry budget, for each service.
 
-The budget allows a ratio of requests plus a slack in any window. Each box applies the ratio to its
-own requests. The slack is split among the boxes that hold it. A box starts with an empty share that
-fills within one window, so that boxes that stop and start never spend the slack twice.
+The budget allows a ratio of requests plus a slack in any window; one token is one retry. Each box
+applies the ratio to its own requests. The slack is split among the boxes that hold it. A box starts
+with an empty share that fills within one window, so that boxes that stop and start never spend the
+slack twice.
 
 Examples
 --------
@@ -21,13 +22,15 @@
 full at the start of a window is refilled once within it."""
 
 RATIO_SHARE = 0.9
-"""Part of the ratio that is used: some requests from callers may not have been seen here."""
+"""Part of the ratio that is used; the rest is a margin for differences in counting requests."""
 
 
 @dataclass(slots=True)
 class _Bucket:
+    """The tokens left of a service, and when that number was last updated."""
+
     left: float
-    filled_s: float
+    updated_s: float
 
 
 class RepeatShares:
@@ -47,7 +50,7 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def set_bound(self, ratio: float, slack: float, window_s: float) -> None:
-        """Change the budget; tokens saved so far are cut to it from the next call on."""
+        """Change the budget; tokens above a smaller capacity drain from the next call on."""
         self._ratio = RATIO_SHARE * ratio
         self._slack = SLACK_SHARE * slack
         self._window_s = window_s
@@ -58,11 +61,11 @@
         bucket.left += self._ratio
 
     def left(self, service: str, now_s: float) -> float:
-        """Return the number of repeats left in the share."""
+        """Return the number of retries left in the share."""
         return self._fill(service, now_s).left
 
     def take(self, service: str, now_s: float) -> bool:
-        """Take one repeat from the share; return False if there is none."""
+        """Take one retry from the share; return False if there is none."""
         bucket = self._fill(service, now_s)
         if bucket.left < 1:
             return False
@@ -70,15 +73,15 @@
         return True
 
     def give_back(self, service: str, now_s: float) -> None:
-        """Return a repeat that was taken from this share and not sent."""
+        """Return a retry that was taken from this share and not sent."""
         self._fill(service, now_s).left += 1
 
     def _fill(self, service: str, now_s: float) -> _Bucket:
         bucket = self._buckets.setdefault(service, _Bucket(0.0, now_s))
         sharers = self._sharers()
         capacity = self._slack / sharers if sharers else 0.0
-        elapsed_s = max(0.0, now_s - bucket.filled_s)
-        bucket.filled_s = now_s
+        elapsed_s = max(0.0, now_s - bucket.updated_s)
+        bucket.updated_s = now_s
         # Tokens above the capacity, added by requests, drain as their window passes.
         if bucket.left > capacity:
             bucket.left = max(capacity, bucket.left - elapsed_s / self._window_s * bucket.left)
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -1,7 +1,8 @@
 """Polling of engines for their load reports.
 
-One box, the reader, polls each engine and passes its reports on to the other boxes. Each engine has
-its own order of readers; the next box in it takes over if no report has been passed on in time.
+Each engine is polled by one box, its reader, which passes the reports on to the other boxes. Each
+engine has its own order of readers; the next box in it takes over if no report has been passed on
+in time. (Readers of reports are not the `CoordinatorGroup.readers`, which read the target list.)
 """
 
 import hashlib
@@ -24,7 +25,7 @@
 __all__ = ["ReportReader", "read_report", "responsible_boxes"]
 
 INTERVAL_S = 0.4
-"""Pause between two reports of an engine, in seconds; each costs the engine as much as a probe."""
+"""Pause between two polls of an engine, in seconds; a poll costs the engine as much as a probe."""
 
 TIMEOUT_S = 0.7
 """Timeout of a report, in seconds; engines normally answer in milliseconds."""
@@ -38,8 +39,8 @@
 two intervals, so that a lost datagram does not cause a poll. An engine that is lost together with
 its reader is detected as silent after 2.5 s at most."""
 
-ANY_READER_AGE_S = 2.0
-"""Report age at which every reader polls an engine itself, in seconds."""
+OTHER_READERS_AGE_S = 2.0
+"""Report age at which all further boxes in an engine's order poll it, in seconds."""
 
 _NEVER_S = float("-inf")
 
@@ -61,12 +62,12 @@
     view : FleetView
         Records the reports.
     engines : callable
-        Returns the engines that get work.
+        Returns the engines to poll.
     me : str
         Name of this box.
     readers : callable
         Returns the names of the boxes that read reports; empty while they are not known.
-    tell : callable
+    broadcast : callable
         Sends a `ReportNote` to the peers.
     """
 
@@ -78,7 +79,7 @@
         engines: Callable[[], Iterable[TargetEntry]],
         me: str,
         readers: Callable[[], list[str]],
-        tell: Callable[[ReportNote], None],
+        broadcast: Callable[[ReportNote], None],
     ):
         self._clock = clock
         self._pool = pool
@@ -86,9 +87,9 @@
         self._engines = engines
         self._me = me
         self._readers = readers
-        self._tell = tell
+        self._broadcast = broadcast
         self._misses: dict[str, int] = {}
-        self._asked_s: dict[str, float] = {}
+        self._polled_s: dict[str, float] = {}
 
     async def run(self) -> None:
         """Poll engines until cancelled."""
@@ -96,11 +97,11 @@
             readers = self._readers()
             listed = list(self._engines())
             self._misses = {e.name: self._misses.get(e.name, 0) for e in listed}
-            self._asked_s = {e.name: self._asked_s.get(e.name, _NEVER_S) for e in listed}
+            self._polled_s = {e.name: self._polled_s.get(e.name, _NEVER_S) for e in listed}
             for entry in listed:
                 if self._is_due(entry, readers):
-                    self._asked_s[entry.name] = self._clock.seconds()
-                    start(self._ask(entry)).addErrback(_log_failure)
+                    self._polled_s[entry.name] = self._clock.seconds()
+                    start(self._poll(entry)).addErrback(_log_failure)
                 else:
                     # A peer has reported on it meanwhile, so earlier misses are not consecutive.
                     self._misses[entry.name] = 0
@@ -112,7 +113,7 @@
         now_s = self._clock.seconds()
         state = self._view.state(entry.name)
         if self._view.rest_s(entry.name, now_s):
-            # The next box in its order takes over once reports are missing for a while.
+            # The next box in its order takes over at `SECOND_READER_AGE_S`.
             return False
         rate_delay_s = self._rate_delay_s(entry.name, now_s)
         if rate_delay_s is None:
@@ -124,7 +125,7 @@
             case 1:
                 return age_s > SECOND_READER_AGE_S or state.recent_refusals(now_s)
             case _:
-                return age_s > ANY_READER_AGE_S
+                return age_s > OTHER_READERS_AGE_S
 
     def _rate_delay_s(self, target: str, now_s: float) -> float | None:
         """Return the extra report age allowed for a target, in seconds; None if no poll is due.
@@ -139,11 +140,11 @@
         if self._misses[target]:
             return pause_s
         # All answers of the target carry its rate, so any of them postpones the poll.
-        last_s = max(rate.heard_s, self._asked_s[target])
+        last_s = max(rate.heard_s, self._polled_s[target])
         return pause_s if now_s - last_s >= pause_s - _CLOCK_TOLERANCE_S else None
 
-    async def _ask(self, entry: TargetEntry) -> None:
-        asked_s = self._clock.seconds()
+    async def _poll(self, entry: TargetEntry) -> None:
+        polled_s = self._clock.seconds()
         try:
             report = await read_report(self._clock, self._pool, entry)
         except TargetBackoffError:
@@ -158,13 +159,13 @@
             return
         now_s = self._clock.seconds()
         self._view.note_report(entry.name, report, now_s)
-        self._tell(_note(entry.name, report, self._view.state(entry.name), now_s - asked_s))
+        self._broadcast(_note(entry.name, report, self._view.state(entry.name), now_s - polled_s))
 
     def _note_refused(self, target: str) -> None:
         if target in self._misses:
             self._view.note_refused(target, self._me, self._clock.seconds())
             born = self._view.state(target).born
-            self._tell(ReportNote(target, False, refused=True, born=born))
+            self._broadcast(ReportNote(target, False, refused=True, born=born))
 
 
 async def read_report(
@@ -175,7 +176,7 @@
     Raises
     ------
     TargetBackoffError
-        If the target asked this box to rest.
+        If the target has asked this box for a backoff.
     TargetNotListeningError
         If its address refuses connections.
     """
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -1,15 +1,15 @@
-"""Statements that targets make about themselves in their answers: rate limit, leaving, rest.
+"""Statements that targets make about themselves in their answers: rate limit, leaving, backoff.
 
-Every answer counts, also one whose request is no longer waiting for it (an overtaken hedge, a
-report, an order, or a refusal). Each kind of statement has its own scope and lifetime:
+Every answer counts: also refusals, answers to reports and orders, and the answer of a hedge that is
+no longer needed. Each kind of statement has its own scope and lifetime:
 
 - The rate limit applies to all boxes while answers name it; kept in `TargetRates`.
 - Leaving applies to all boxes for the lifetime of that start of the target; kept in the target
   list.
-- A rest applies to the box that was answered, until a given time; kept in `FleetView`.
+- A backoff applies to the box that got the answer, until a given time; kept in `FleetView`.
 
 Everything that is sent to a target passes `TargetStatements.authorize`, which enforces leaving and
-rests.
+backoffs.
 """
 
 import logging
@@ -48,8 +48,8 @@
     told_by: str
 
 
-class ShownRest(TypedDict):
-    """A target that takes nothing from this box for `left_s` more seconds."""
+class ShownBackoff(TypedDict):
+    """A target in backoff, which takes nothing from this box for `left_s` more seconds."""
 
     target: str
     left_s: float
@@ -60,7 +60,7 @@
 
     rates: list[ShownRate]
     leaving: list[ShownLeaving]
-    rests: list[ShownRest]
+    rests: list[ShownBackoff]
 
 
 class TargetStatements:
@@ -73,7 +73,7 @@
     targets : TargetListFollower
         The list of targets.
     view : FleetView
-        The state of targets; keeps their rests.
+        The state of targets; keeps their backoffs.
     rates : TargetRates
         Keeps the rate limits that they name.
     port : GossipPort
@@ -93,7 +93,7 @@
         self._view = view
         self._rates = rates
         self._port = port
-        self._odd: dict[tuple[str, str], str] = {}
+        self._malformed: dict[tuple[str, str], str] = {}
         self._leaving: dict[str, _Heard] = {}
 
     # Called by the connection pool.
@@ -102,8 +102,8 @@
         """Check that a call may be sent to a target now; return the target's known start.
 
         A leaving target finishes the work that it has begun: its reservations are renewed and
-        freed, and its reports are read. A resting target gets renewals only, since it would
-        otherwise cut running streams; reservations that are no longer needed expire there.
+        freed, and its reports are read. A target in backoff gets renewals only: without them it
+        would cut running streams. Reservations that are no longer needed expire there.
 
         Raises
         ------
@@ -121,15 +121,15 @@
         return self._view.state(target).born
 
     def rest_s(self, target: str) -> float:
-        """Return the remaining rest of a target in seconds, 0 if it takes requests."""
+        """Return the remaining backoff of a target in seconds, 0 if there is none."""
         return self._view.rest_s(target, self._clock.seconds())
 
     def note_answer(self, target: str, born: int, said: Statements, sent_s: float) -> None:
         """Process the statements in an answer to this box.
 
-        Of a target that is not listed, only leaving is recorded, in case it is listed again.
-        Statements of an earlier start are ignored. `born` is the start that was known when the
-        request was sent, at `sent_s`.
+        `born` is the start of the target that was known when the request was sent, at `sent_s`.
+        Statements of an earlier start are ignored. If a target is not listed, only leaving is
+        recorded, in case it is listed again.
         """
         if target not in self._targets.entries:
             if said.leaves:
@@ -137,7 +137,7 @@
             return
         if 0 < born < self._view.state(target).born:
             return
-        self._note_odd(target, said.malformed)
+        self._log_malformed(target, said.malformed)
         self._rates.note_rate(target, said.rate_per_s, sent_s)
         if said.leaves:
             self._note_leaving(target, self._view.state(target).born, "")
@@ -190,17 +190,19 @@
                 for name, heard in sorted(leaving)
             ],
             rests=[
-                ShownRest(target=name, left_s=round(for_s, 2))
+                ShownBackoff(target=name, left_s=round(for_s, 2))
                 for name, for_s in sorted(self._view.rests(now_s).items())
             ],
         )
 
-    def _note_odd(self, target: str, odd: tuple[MalformedStatement, ...]) -> None:
+    def _log_malformed(self, target: str, malformed: tuple[MalformedStatement, ...]) -> None:
         """Log a statement that can't be parsed, once until its text changes."""
-        for kind, text in odd:
-            if self._odd.get((target, kind)) != text:
+        for kind, text in malformed:
+            if self._malformed.get((target, kind)) != text:
                 listed = self._targets.entries
-                self._odd = {key: said for key, said in self._odd.items() if key[0] in listed}
-                self._odd[target, kind] = text
+                self._malformed = {
+                    key: said for key, said in self._malformed.items() if key[0] in listed
+                }
+                self._malformed[target, kind] = text
                 extra = {"target": target, "statement": kind, "said": text}
                 _log.warning("unreadable statement from target", extra=extra)
--- a/gladedrum/placing/suspect_separation.py
+++ b/gladedrum/placing/suspect_separation.py
@@ -1,4 +1,4 @@
-"""Separation of requests that are suspected of ending targets."""
+"""Separation of requests that are suspected of ending targets: they get targets of their own."""
 
 from collections.abc import Iterable, Sequence
 
@@ -13,11 +13,11 @@
 def separate_suspects(
     entries: Sequence[TargetEntry], standing: Standing, view: FleetView, now_s: float
 ) -> Sequence[TargetEntry]:
-    """Return the targets, of those given, that a request should prefer to avoid meeting suspects.
+    """Return those of `entries` where the request shares no target with a suspected request.
 
-    If two suspects shared a target, both would be lost with it, and neither could be identified as
-    the cause. A request that must run alone gets the targets with the least work, and no other
-    request is placed beside it.
+    If two suspected requests shared a target, both would be lost with it, and neither could be
+    identified as the cause. A request that must run alone gets the targets with the least work, and
+    no other request is placed beside it. The result may be empty.
     """
     plans = view.suspect_plans(now_s)
     if standing is Standing.CLEAR:
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -1,4 +1,4 @@
-"""Detection of requests that end targets: records losses, shares them with peers, reports verdicts.
+"""Detection of requests that end targets.
 
 A *loss* is a request that was lost together with a target. The rules that turn losses into verdicts
 are in `scheduling.suspects`. This module collects losses from the box's own attempts and from
@@ -37,7 +37,7 @@
 """Delay between a loss and the connection check of a target without reports, in seconds. A target
 that has ended takes longer to restart, so a process that listens then did not end."""
 
-Listening = Callable[[], Awaitable[bool | None]]
+IsListening = Callable[[], Awaitable[bool | None]]
 """Returns whether a process accepts connections there; None if unknown."""
 
 _log = logging.getLogger(__name__)
@@ -61,9 +61,10 @@
     ----------
     is_informed : bool
         Whether this box knows the requests that were condemned before it started.
-    on_condemned, on_lifted : callable
-        Called with each `Condemned` when it becomes known; with the digest of one that an operator
-        has lifted on this box.
+    on_condemned : callable
+        Called with each `Condemned` request when it becomes known.
+    on_lifted : callable
+        Called with the digest of a condemned request that an operator has lifted on this box.
     """
 
     def __init__(
@@ -75,10 +76,10 @@
     ):
         self._clock = clock
         self._view = view
-        self._book = view.suspects
+        self._tracker = view.suspects
         self._targets = targets
         self._port = port
-        self._book.on_condemned = self._note_condemned
+        self._tracker.on_condemned = self._note_condemned
         self.is_informed = False
         self.on_condemned: Callable[[Condemned], None] = lambda _row: None
         self.on_lifted: Callable[[bytes], None] = lambda _digest: None
@@ -88,15 +89,15 @@
     @property
     def is_watching(self) -> bool:
         """Whether any request is suspected, so that digests of requests must be computed."""
-        return self._book.is_watching
+        return self._tracker.is_watching
 
     def standing(self, digest: bytes) -> Standing:
         """Return the standing of a request: clear, or how it is restricted."""
-        return self._book.standing(digest, self._clock.seconds())
+        return self._tracker.standing(digest, self._clock.seconds())
 
-    def barred_s(self, digest: bytes) -> float | None:
+    def condemned_for_s(self, digest: bytes) -> float | None:
         """Return the seconds until a condemned request may be tried again, else None."""
-        row = self._book.condemned_row(digest, self._clock.seconds())
+        row = self._tracker.condemned_row(digest, self._clock.seconds())
         return None if row is None else row.left_s
 
     def note_lost(self, digest: bytes, names: Iterable[str], route: str, organisation: str) -> None:
@@ -106,23 +107,24 @@
         """
         starts = [self._start(name) for name in names if self._targets.accepts_requests(name)]
         now_s = self._clock.seconds()
-        self._tell_repeatedly(self._book.note_lost(digest, starts, now_s, route, organisation))
+        self._send_repeatedly(self._tracker.note_lost(digest, starts, now_s, route, organisation))
 
-    async def check(self, target: str, is_listening: Listening) -> None:
+    async def check(self, target: str, is_listening: IsListening) -> None:
         """Find out, after a loss, whether a target without reports has ended.
 
-        The lapse of its entry would show an end after 4 to 5 s only, and never that it is alive.
+        Otherwise only the lapse of its entry in the target list would show the end, 4 to 5 s later,
+        and nothing would show that the target is alive.
         """
         start = self._start(target)
         await sleep(self._clock, CHECK_DELAY_S)
         listening, now_s = await is_listening(), self._clock.seconds()
         if listening is not None:
-            note = self._book.note_alive if listening else self._book.note_ended
-            self._tell_repeatedly(note(start, now_s))
+            note = self._tracker.note_alive if listening else self._tracker.note_ended
+            self._send_repeatedly(note(start, now_s))
 
     def note_served(self, digest: bytes) -> None:
         """Record that a request has completed, which clears it of suspicion."""
-        self._tell_repeatedly(self._book.note_served(digest, self._clock.seconds()))
+        self._send_repeatedly(self._tracker.note_served(digest, self._clock.seconds()))
 
     def _start(self, name: str) -> TargetStart:
         return TargetStart(name, self._view.state(name).born)
@@ -131,7 +133,7 @@
 
     def condemned(self) -> list[Condemned]:
         """Return the condemned requests, latest first."""
-        return self._book.condemned(self._clock.seconds())
+        return self._tracker.condemned(self._clock.seconds())
 
     def lift(self, digest: bytes) -> bool:
         """Allow a condemned request again; return whether it was condemned."""
@@ -151,21 +153,21 @@
     @property
     def checksum(self) -> int:
         """Checksum of the losses known here."""
-        return self._book.checksum
+        return self._tracker.checksum
 
     def note_compared(self) -> None:
         """Record that an informed peer has sent its losses or has the same ones."""
         self.is_informed = True
 
-    def take_recorded(self, losses: Iterable[Loss]) -> None:
+    def add_recorded(self, losses: Iterable[Loss]) -> None:
         """Add the losses that are recorded in the store."""
         self.is_informed = True
-        self._book.merge(losses, self._clock.seconds())
+        self._tracker.merge(losses, self._clock.seconds())
 
     def send_all(self, address: tuple[str, int]) -> None:
         """Send all known losses to a box."""
         now_s = self._clock.seconds()
-        notes = [note_from_loss(loss, now_s) for loss in self._book.shared()]
+        notes = [note_from_loss(loss, now_s) for loss in self._tracker.shared()]
         self._port.send_losses(notes, address)
 
     def receive(self, message: Gossip) -> None:
@@ -173,16 +175,16 @@
         if message.losses:
             now_s = self._clock.seconds()
             losses = (loss_from_note(note, now_s) for note in message.losses)
-            self._book.merge([loss for loss in losses if loss is not None], now_s)
+            self._tracker.merge([loss for loss in losses if loss is not None], now_s)
 
-    def _tell_repeatedly(self, losses: list[Loss]) -> None:
+    def _send_repeatedly(self, losses: list[Loss]) -> None:
         if not losses:
             return
-        self._tell(losses)
+        self._send(losses)
         for after_s in RESEND_DELAYS_S:
-            self._clock.callLater(after_s, self._tell, losses)
+            self._clock.callLater(after_s, self._send, losses)
 
-    def _tell(self, losses: list[Loss]) -> None:
+    def _send(self, losses: list[Loss]) -> None:
         now_s = self._clock.seconds()
         self._port.send_losses([note_from_loss(loss, now_s) for loss in losses])
 
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -1,11 +1,11 @@
 """Enforcement of the rate limits that targets name, over all boxes.
 
-For each target, one member of the coordinator group counts the requests of all boxes and grants
-each request a *place*, a permit to send it now. It is the box that reads the target's reports. A
-box asks for a place right before it sends, since the time of arrival counts. If the member does not
-answer, the next one (the substitute) grants a part of the rate, and in the end the box itself a
-part of that. Other calls to the target (reports, orders about memory) are reported to the same
-member and count, too.
+For each target, one coordinator counts the requests of all boxes and grants each request a *place*,
+a permit to send it now. That coordinator also polls the target for reports. A box asks for a place
+right before it sends, since the time of arrival counts. If the coordinator does not answer, the
+next one, its substitute, grants places at a part of the rate. If that does not answer either, the
+box sends at its share of that part. Calls that need no place (polls, and orders that reserve, renew
+or release memory) also count; they are reported to the same coordinator.
 
 Without coordination, a target would get its rate once per box. An even split would be too coarse:
 with 72 boxes and a rate of 1 request per second, each box could send one in 72 s. A place costs one
@@ -31,19 +31,19 @@
 __all__ = ["ShownRate", "TargetRates"]
 
 MAX_MEMBERS_ASKED = 2
-"""Number of members that are asked for a place: the one that counts, and its substitute."""
+"""Number of coordinators that are asked for a place: the one that counts, and its substitute."""
 
 MAX_MISSES = 2
-"""Number of consecutive unanswered questions after which a member is skipped: a single datagram may
-be lost."""
+"""Number of consecutive unanswered questions after which a coordinator is skipped: a single
+datagram may be lost."""
 
 MAX_SUBSTITUTE_CLOSED_S = 0.25
 """Longest time for which a substitute's refusal closes a target, in seconds. A substitute's part of
-the rate is small, so its own wait would be long, and the counting member may answer again
+the rate is small, so its own wait would be long, and the counting coordinator may answer again
 before."""
 
 AVOIDANCE_S = 2.0
-"""How long a member that did not answer is not asked, in seconds."""
+"""How long a coordinator is not asked after `MAX_MISSES` missing answers, in seconds."""
 
 _log = logging.getLogger(__name__)
 
@@ -71,8 +71,8 @@
         The list of targets.
     view : FleetView
         Records the rates.
-    circle : CoordinatorGroup
-        The coordinator group, whose members count requests.
+    coordinators : CoordinatorGroup
+        The coordinator group, which counts requests.
     port : GossipPort
         Sends datagrams to other boxes.
     boxes : callable
@@ -98,7 +98,7 @@
         self._port = port
         self._boxes = boxes
         self._on_place = on_place
-        self._book = RateLimiter()
+        self._counts = RateLimiter()
         self._own_share = RateLimiter()
         self._ids = itertools.count(1)
         self._waiting: dict[int, defer.Deferred[PlaceGrant | None]] = {}
@@ -106,14 +106,14 @@
         self._avoided_until_s: dict[str, float] = {}
         self._kept_entries: Container[str] | None = None
 
-    # Called by `TargetStatements`.
+    # Answers and calls of this box.
 
     def note_rate(self, target: str, per_s: float | None, sent_s: float) -> None:
         """Process the rate in an answer to this box, None if it names none."""
         self._drop_unlisted()
         now_s = self._clock.seconds()
-        is_new = self._view.note_rate(target, per_s, sent_s, now_s)
-        if is_new or per_s is not None:
+        changed = self._view.note_rate(target, per_s, sent_s, now_s)
+        if changed or per_s is not None:
             born = self._view.state(target).born
             self._port.broadcast_rate(RateNote(target, born, per_s, now_s - sent_s, 0.0))
 
@@ -126,10 +126,12 @@
         first = self._order(target)[0]
         address = self._coordinators.address(first)
         if first == self._coordinators.me or address is None:
-            self._book.charge(target, state.born, state.rate.per_s, self._clock.seconds())
+            self._counts.charge(target, state.born, state.rate.per_s, self._clock.seconds())
         else:
             self._port.send_spent(address, SpentNote(target, state.born, state.rate.per_s))
 
+    # Operators.
+
     def shown(self) -> list[ShownRate]:
         """Return the known rates for operators."""
         now_s = self._clock.seconds()
@@ -181,10 +183,10 @@
         state = self._view.state(target)
         if state.rate is not None and self._order(target)[0] == self._coordinators.me:
             now_s = self._clock.seconds()
-            self._book.refund(target, state.born, state.rate.per_s, now_s)
+            self._counts.refund(target, state.born, state.rate.per_s, now_s)
 
     async def _request_place(self, target: str, rate: NamedRate) -> tuple[str, float, float]:
-        """Return who has decided, the wait (0 if granted), and the time until the next place."""
+        """Return the deciding box, the wait (0 if granted), and the time until the next place."""
         born = self._view.state(target).born
         max_closed_s = MAX_INTERVAL_S
         for member in self._order(target)[:MAX_MEMBERS_ASKED]:
@@ -206,12 +208,12 @@
         if self._order(target)[0] != self._coordinators.me:
             per_s *= SUBSTITUTE_SHARE
         elif rate is not None:
-            self._book.begin(target, born, rate.since_s)
-        wait_s = self._book.acquire(target, born, per_s, now_s)
-        return wait_s, self._book.next_s(target, born, per_s, now_s)
+            self._counts.begin(target, born, rate.since_s)
+        wait_s = self._counts.acquire(target, born, per_s, now_s)
+        return wait_s, self._counts.next_s(target, born, per_s, now_s)
 
     async def _ask(self, member: str, target: str, born: int, per_s: float) -> PlaceGrant | None:
-        """Return a member's answer, None if it does not arrive in time."""
+        """Return a coordinator's answer, None if it does not arrive in time."""
         address, now_s = self._coordinators.address(member), self._clock.seconds()
         if address is None or self._avoided_until_s.get(member, 0.0) > now_s:
             return None
@@ -236,12 +238,12 @@
     def receive(self, message: Gossip, address: tuple[str, int]) -> None:
         """Process a peer's notes on rates, its questions and its answers."""
         for note in message.rates or ():
-            self._take_rate(note, message.box or "")
+            self._apply_rate_note(note, message.box or "")
         for note in message.spent or ():
-            if self._knows(note.target, note.born):
+            if self._is_current(note.target, note.born):
                 per_s = self._rate_of(note.target, note.per_s)
                 now_s = self._clock.seconds()
-                self._book.charge(note.target, self._view.state(note.target).born, per_s, now_s)
+                self._counts.charge(note.target, self._view.state(note.target).born, per_s, now_s)
         for ask in message.place_asks or ():
             self._port.grant_place(address, self._answer(ask))
         for grant in message.place_grants or ():
@@ -249,8 +251,8 @@
             if waiting is not None:
                 waiting.callback(grant)
 
-    def _take_rate(self, note: RateNote, box: str) -> None:
-        if not self._knows(note.target, note.born):
+    def _apply_rate_note(self, note: RateNote, box: str) -> None:
+        if not self._is_current(note.target, note.born):
             return
         now_s = self._clock.seconds()
         heard_s = now_s - (note.heard_age_s or 0.0)
@@ -259,13 +261,13 @@
         )
 
     def _answer(self, ask: PlaceAsk) -> PlaceGrant:
-        if not self._knows(ask.target, ask.born):
+        if not self._is_current(ask.target, ask.born):
             return PlaceGrant(ask.ask_id, False, MAX_INTERVAL_S)
         per_s = self._rate_of(ask.target, ask.per_s)
         wait_s, next_s = self._take_locally(ask.target, self._view.state(ask.target).born, per_s)
         return PlaceGrant(ask.ask_id, not wait_s, wait_s or next_s)
 
-    def _knows(self, target: str | None, born: int | None) -> bool:
+    def _is_current(self, target: str | None, born: int | None) -> bool:
         """Whether a note is about a listed target, and not about an earlier start."""
         if target not in self._targets.entries:
             return False
@@ -283,5 +285,5 @@
         """Drop the counts of targets that are no longer listed."""
         if self._kept_entries is not self._targets.entries:
             self._kept_entries = self._targets.entries
-            self._book.keep(self._kept_entries)
+            self._counts.keep(self._kept_entries)
             self._own_share.keep(self._kept_entries)
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -1,7 +1,7 @@
 """How boxes that start, or miss a datagram, learn which requests end targets.
 
 Guards against losing that knowledge with the boxes: each condemned request would then end three
-more targets after every loss of a whole fleet. Nine boxes, in virtual time.
+more targets after every restart of a whole fleet. Nine boxes, in virtual time.
 """
 
 import json
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_all_boxes_know_it_in_time_with_a_third_of_datagrams_lost(seed):
+def test_all_boxes_know_a_condemned_request_with_a_third_of_datagrams_lost(seed):
     fleet, rng = SuspectingFleet(), random.Random(seed)
     fleet.lost = lambda: rng.random() < 0.33
     fleet.condemn()
@@ -109,7 +109,7 @@
     assert set(fleet.standings()) == {Standing.CONDEMNED}
 
 
-def test_a_starting_box_learns_it_from_its_seeds_without_a_store_call():
+def test_a_starting_box_learns_a_condemned_request_without_a_store_call():
     fleet = SuspectingFleet()
     fleet.condemn()
     before = fleet.store.listed[CONDEMNED_PREFIX]
@@ -122,7 +122,7 @@
     assert fleet.store.listed[CONDEMNED_PREFIX] == before
 
 
-def test_a_restarted_fleet_learns_it_from_the_store_in_time():
+def test_a_restarted_fleet_learns_a_condemned_request_from_the_store():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
@@ -133,7 +133,7 @@
     assert fleet.store.listed[CONDEMNED_PREFIX] - before <= 4
 
 
-def test_a_restarted_fleet_learns_it_once_the_store_is_available_again():
+def test_a_restarted_fleet_learns_a_condemned_request_once_the_store_is_back():
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
--- a/gladedrum/placing/tests/test_misses.py
+++ b/gladedrum/placing/tests/test_missing_reports.py
@@ -21,17 +21,17 @@
     monkeypatch.setattr(reports, "call_target", unanswered)
     clock, view = Clock(), FleetView()
     second = reports.responsible_boxes(ENGINE.name, ["a", "b"])[1]
-    told = []
+    notes = []
     reader = ReportReader(
-        clock, None, view, lambda: [ENGINE], second, lambda: ["a", "b"], told.append
+        clock, None, view, lambda: [ENGINE], second, lambda: ["a", "b"], notes.append
     )
     start(reader.run())
     for _ in range(10):
-        told_of = ReportNote(ENGINE.name, True, 0, 0, 1.0, 0)
-        view.receive(Gossip(reports=[told_of]), {ENGINE.name}, clock.seconds())
+        note = ReportNote(ENGINE.name, True, 0, 0, 1.0, 0)
+        view.receive(Gossip(reports=[note]), {ENGINE.name}, clock.seconds())
         clock.advance(INTERVAL_S)
     for _ in range(round(SECOND_READER_AGE_S / INTERVAL_S)):
         clock.advance(INTERVAL_S)
-    assert not told
+    assert not notes
     clock.advance(INTERVAL_S)
-    assert [note.answered for note in told] == [False]
+    assert [note.answered for note in notes] == [False]
--- a/gladedrum/placing/tests/test_peers_rows.py
+++ b/gladedrum/placing/tests/test_peer_work.py
@@ -1,7 +1,7 @@
-"""Work reported by peers progresses at the speed of its own engines, not of the default traits.
+"""Work placed by peers progresses at the speed of its engine, not of an engine with default traits.
 
-Guards against ledgers that advance by the wrong traits at each note of a peer, so that prompts
-seem to be read more slowly than they are.
+Guards against ledgers that apply the default traits to peers' notes: prompts would seem to be read
+more slowly than they are.
 """
 
 from dataclasses import replace
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""In a large fleet a few boxes decide for all; if they don't answer, a box decides alone."""
+"""In a large fleet the coordinators decide for all; if they don't answer, a box decides alone."""
 
 import itertools
 
@@ -32,12 +32,10 @@
     """Guards against a hot spot: small boxes as deciders can't keep up with bursts."""
     large = {"b3", "b7", "b11", "b19", "b23"}
     capacity = {name: 2.15 if name in large else 0.516 for name in BOXES}
-    circles = [CoordinatorGroup(name, lambda n=name: _others(n), capacity.get) for name in BOXES]
-    assert {frozenset(coordinators.members()) for coordinators in circles} == {
-        frozenset(circles[0].members())
-    }
-    assert set(circles[0].members()) < large
-    assert {coordinators.ranked_members()[0] for coordinators in circles} < large
+    groups = [CoordinatorGroup(name, lambda n=name: _others(n), capacity.get) for name in BOXES]
+    assert {frozenset(group.members()) for group in groups} == {frozenset(groups[0].members())}
+    assert set(groups[0].members()) < large
+    assert {group.ranked_members()[0] for group in groups} < large
 
 
 def _others(name):
@@ -56,11 +54,11 @@
         self.sent += 1
         if self.lost:
             return
-        told = gossip.decode(data)
+        message = gossip.decode(data)
         world = self.worlds.get(address[1])
-        if world is not None and told.box != world.port._box:
-            world.view.receive(told, world.targets.entries.keys(), world.net.seconds())
-            world.ctx.placer.receive(told, (told.box, world.addresses[told.box]))
+        if world is not None and message.box != world.port._box:
+            world.view.receive(message, world.targets.entries.keys(), world.net.seconds())
+            world.ctx.placer.receive(message, (message.box, world.addresses[message.box]))
             world.net.advance(0)
 
 
@@ -131,20 +129,20 @@
 
 def test_all_boxes_of_a_small_fleet_agree_on_the_two_that_read_the_list():
     names = {f"b{i}": ("10.0.0.1", i) for i in range(9)}
-    circles = [
+    groups = [
         CoordinatorGroup(me, lambda me=me: {n: a for n, a in names.items() if n != me})
         for me in names
     ]
-    assert len({tuple(coordinators.readers()) for coordinators in circles}) == 1
-    assert sum(not coordinators.follows_readers() for coordinators in circles) == READER_COUNT
+    assert len({tuple(group.readers()) for group in groups}) == 1
+    assert sum(not group.follows_readers() for group in groups) == READER_COUNT
     assert not CoordinatorGroup("alone", dict).follows_readers()
 
 
-def test_boxes_with_the_same_knowledge_agree_on_the_arbiter():
-    ranked_members = {
+def test_boxes_with_the_same_knowledge_agree_on_the_first_ranked_member():
+    first_members = {
         CoordinatorGroup(name, lambda n=name: _others(n)).ranked_members()[0] for name in BOXES
     }
-    assert len(ranked_members) == 1
+    assert len(first_members) == 1
 
 
 def test_a_cold_member_leaves_decisions_to_members_that_know_the_work():
@@ -200,13 +198,13 @@
 
 def test_boxes_without_knowledge_of_each_other_spread_over_equal_targets():
     """Guards against all boxes picking the first target by name after a fleet restart."""
-    taken = set()
+    chosen = set()
     for index in range(8):
         world = World(targets=8, engine=EngineTraits(), streaming=True, resumable=True)
         world.ctx.chooser._box = f"box-{index}"
         world.caller().send_request(b"body")
-        taken.add(world.attempt().address)
-    assert len(taken) >= 4
+        chosen.add(world.attempt().address)
+    assert len(chosen) >= 4
 
 
 def test_a_decider_that_can_not_serve_in_time_says_when_to_retry():
@@ -223,12 +221,12 @@
 
 
 def ask_slowly(outside, wire, held):
-    """Ask for a placement while the members' answers are held back; they are added to `held`."""
+    """Ask for a placement; the coordinators' answers are added to `held` instead of delivered."""
     deliver = wire.write
 
     def hold(data, address):
-        told = gossip.decode(data)
-        if told.choices:
+        message = gossip.decode(data)
+        if message.choices:
             held.append((data, address))
         else:
             deliver(data, address)
@@ -259,13 +257,13 @@
     outside, _inside, wire = outside_and_inside_box()
     held = []
     ask_slowly(outside, wire, held)
-    members = outside.ctx.placer._members
-    asked = set(members._avoided_until_s)
+    client = outside.ctx.placer._client
+    asked = set(client._avoided_until_s)
     assert len(asked) == MAX_MEMBERS_ASKED
     for data, address in held:
         wire.write(data, address)
-    assert not members._avoided_until_s
-    assert all(members._times.wait_s(member) > ANSWER_TIMEOUT_S for member in asked)
+    assert not client._avoided_until_s
+    assert all(client._times.wait_s(member) > ANSWER_TIMEOUT_S for member in asked)
 
 
 def test_a_choice_that_can_not_be_used_is_withdrawn():
--- a/gladedrum/placing/tests/test_refusing_engine.py
+++ b/gladedrum/placing/tests/test_refusing_engine.py
@@ -1,7 +1,7 @@
-"""An engine whose process is killed refuses connections; other boxes must learn of it quickly.
+"""An engine whose process is killed refuses connections, and all boxes suspect it quickly.
 
-Guards against notes that do not distinguish a refused connection from a broken link, so that
-peers suspect the engine only when its reports are old.
+Guards against notes that do not distinguish a refused connection from a broken link: peers would
+not suspect the engine before its last report is old.
 """
 
 import pytest
--- a/gladedrum/placing/tests/test_repeats.py
+++ b/gladedrum/placing/tests/test_repeats.py
@@ -22,7 +22,7 @@
     per_s=st.integers(0, 40),
     restarts=st.lists(st.integers(0, 11), max_size=6),
 )
-def test_no_window_holds_more_repeats_than_the_budget(boxes, per_s, restarts):
+def test_no_window_holds_more_retries_than_the_budget(boxes, per_s, restarts):
     def fresh():
         return RepeatShares(RATIO, SLACK, WINDOW_S, lambda: boxes)
 
@@ -52,7 +52,7 @@
 
 
 def append_result_to(granted):
-    """Return a callback that appends whether a repeat was granted."""
+    """Return a callback that appends whether a retry was granted."""
     return lambda grant: granted.append(grant is not None)
 
 
@@ -87,7 +87,7 @@
 
 
 def sent_by(clock, pools, seconds):
-    """Return how many repeats the boxes get if all ask once per second."""
+    """Return how many retries the boxes get if all ask once per second."""
     count = 0
     for _ in range(seconds):
         clock.advance(1.0)
@@ -125,7 +125,7 @@
     assert granted == [False]
 
 
-def test_a_second_member_is_asked_if_the_first_grants_no_repeat():
+def test_a_second_member_is_asked_if_the_first_grants_no_retry():
     clock, pools = pooled_fleet()
     outside = next(pool for pool in pools if pool._coordinators.excludes_me())
     members = [pool for pool in pools if pool._coordinators.includes_me()]
@@ -136,20 +136,20 @@
         start(outside.take("s")).addCallback(append_result_to(granted))
     clock.advance(0)
     assert len(granted) == 200
-    # Two of the four members are asked, one of which has repeats left.
+    # Two of the four members are asked, and one of the four has retries left.
     assert 80 <= sum(granted) <= 120
 
 
 def granted_to(pool, clock):
-    """Return whether a box gets a repeat."""
+    """Return whether a box gets a retry."""
     granted = []
     start(pool.take("s")).addCallback(append_result_to(granted))
     clock.advance(0)
     return granted == [True]
 
 
-def test_a_box_that_has_just_started_gets_repeats_from_its_peers():
-    """Guards against refused repeats within one window after the start of a box."""
+def test_a_box_that_has_just_started_gets_retries_from_its_peers():
+    """Guards against refused retries within one window after the start of a box."""
     clock, pools = pooled_fleet(boxes=SMALL_FLEET)
     started, *peers = pools
     for peer in peers:
@@ -166,14 +166,14 @@
     restarts=st.lists(st.integers(0, 11), max_size=6),
     only=st.sets(st.integers(0, 11), min_size=1),
 )
-def test_repeats_granted_by_peers_stay_within_the_budget(boxes, per_s, restarts, only):
-    """Some boxes send all repeats that they can get, also from peers; others send none."""
+def test_retries_granted_by_peers_stay_within_the_budget(boxes, per_s, restarts, only):
+    """Some boxes send all retries that they can get, also from peers; others send none."""
     clock, pools = pooled_fleet(boxes=boxes)
     sent, asked = [], []
     for tick in range(300):
         if tick % 40 == 0 and restarts:
-            again = restarts[tick // 40 % len(restarts)] % boxes
-            pools[again]._shares._buckets.clear()
+            restarted = restarts[tick // 40 % len(restarts)] % boxes
+            pools[restarted]._shares._buckets.clear()
         for number, pool in enumerate(pools):
             for _ in range(per_s // 10 + (tick % 10 < per_s % 10)):
                 pool.note_request("s")
@@ -197,7 +197,7 @@
 def test_the_budget_holds_while_boxes_stop_and_the_others_split_the_slack(
     boxes, every, away, greedy_from
 ):
-    """A stopped box no longer counts: its share is split again, but what it sent stays sent."""
+    """The others take over the share of a stopped box, but the retries that it sent still count."""
     live = dict.fromkeys(range(boxes))
 
     def fresh():
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -1,7 +1,7 @@
-"""Who reads engines' reports, and the suspicion of engines when their reader stops.
+"""Which boxes read engines' reports, and which engines are suspected when a reader stops.
 
-Guards against false suspicion (the absence of the reader is taken for a fault of the engine) and
-the probe storm that would follow. Nine boxes and 18 engines, in virtual time.
+Guards against suspecting an engine because its reader has stopped, and the probe storm that would
+follow. Nine boxes and 18 engines, in virtual time.
 """
 
 import pytest
@@ -85,12 +85,12 @@
             seen.update(*(box.suspects() for box in self.boxes.values()))
         return seen
 
-    def until_all_suspect(self, engine, most_s):
-        """Return the seconds until all boxes suspect an engine; fail after `most_s`."""
+    def until_all_suspect(self, engine, timeout_s):
+        """Return the seconds until all boxes suspect an engine; fail after `timeout_s`."""
         before_s = self.clock.seconds()
         while not all(engine in box.suspects() for box in self.boxes.values()):
             self.run(0.02)
-            assert self.clock.seconds() - before_s < most_s
+            assert self.clock.seconds() - before_s < timeout_s
         return self.clock.seconds() - before_s
 
 
--- a/gladedrum/placing/tests/test_reborn.py
+++ b/gladedrum/placing/tests/test_restarts.py
@@ -22,8 +22,8 @@
 def view():
     """A view in which the old start of an engine has work, a pace and one failed request."""
     view = FleetView()
-    view.reborn = []
-    view.on_restart = view.reborn.append
+    view.restarted = []
+    view.on_restart = view.restarted.append
     view.note_report("e1", report(OLD, pace=3.0, used=90_000), 10.0)
     view.note_placed(WorkPlan("w1", ("e1",), 50_000, 100, reserved=True), 10.0)
     view.note_outcome("e1", failed=True, now_s=10.5)
@@ -40,21 +40,21 @@
     view.note_report("e1", report(NEW), 13.0)
     assert is_reset(view)
     assert view.state("e1").report.pace == 1.0
-    assert view.reborn == ["e1"]
+    assert view.restarted == ["e1"]
 
 
 def test_an_entry_of_a_later_start_discards_the_state_of_the_earlier_one(view):
     view.note_start("e1", NEW, 13.0)
     assert is_reset(view)
     assert view.state("e1").report is None
-    assert view.reborn == ["e1"]
+    assert view.restarted == ["e1"]
 
 
 def test_a_peers_note_of_a_later_start_discards_the_state_of_the_earlier_one(view):
     note = ReportNote("e1", True, 0, 0, 1.0, 0, False, NEW)
     view.receive(Gossip("peer", [], [note]), ["e1"], 13.0)
     assert is_reset(view)
-    assert view.reborn == ["e1"]
+    assert view.restarted == ["e1"]
 
 
 def test_work_placed_right_before_the_restart_is_known_is_kept(view):
@@ -72,7 +72,7 @@
     assert is_reset(view)
     assert view.state("e1").report.pace == 1.0
     assert view.state("e1").born == NEW
-    assert view.reborn == ["e1"]
+    assert view.restarted == ["e1"]
 
 
 def test_a_late_note_that_the_earlier_start_was_silent_is_ignored(view):
@@ -86,7 +86,7 @@
     view.note_start("e1", 0, 13.0)
     assert "w1" in view.state("e1").ledger.rows
     assert view.state("e1").report.pace == 2.0
-    assert view.reborn == []
+    assert view.restarted == []
 
 
 def test_a_first_report_with_the_start_of_the_entry_is_no_restart():
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -1,16 +1,16 @@
-"""Statements of targets about themselves: which start they bind, for how long, and which calls."""
+"""Statements of targets about themselves: to which start and calls they apply, and for how long."""
 
 import pytest
 
 from gladedrum.connections.target_pool import NoLongerAllowedError
 from gladedrum.forward.tests.support import World
 from gladedrum.gossip.wire.ttypes import Gossip, LeavingNote
-from gladedrum.placing.fleet_view import MAX_REST_S
+from gladedrum.placing.fleet_view import MAX_BACKOFF_S
 from gladedrum.platform.orders import CallKind
 from gladedrum.platform.statements import MalformedStatement, Statements
 
 OLD, NEW = 1_000, 2_000
-LEAVES, RESTS = Statements(leaves=True), Statements(rest_s=3.0)
+LEAVES, BACKOFF = Statements(leaves=True), Statements(rest_s=3.0)
 
 
 @pytest.fixture
@@ -47,8 +47,8 @@
     assert allowed_kinds(world, "t2") == set(CallKind)
 
 
-def test_a_resting_target_gets_only_renewals(world):
-    answer_with(world, RESTS)
+def test_a_target_in_backoff_gets_only_renewals(world):
+    answer_with(world, BACKOFF)
     assert allowed_kinds(world) == {CallKind.RENEW}
     assert allowed_kinds(world, "t2") == set(CallKind)
     world.net.advance(2.9)
@@ -58,13 +58,13 @@
 
 
 def test_an_unlisted_target_gets_all_calls_but_new_work(world):
-    answer_with(world, RESTS, target="t9")
+    answer_with(world, BACKOFF, target="t9")
     assert world.statements.authorize("t9", CallKind.RELEASE) == 0
     with pytest.raises(NoLongerAllowedError, match="leaving"):
         world.statements.authorize("t9", CallKind.REQUEST)
 
 
-@pytest.mark.parametrize("said", [LEAVES, RESTS])
+@pytest.mark.parametrize("said", [LEAVES, BACKOFF])
 def test_statements_of_an_earlier_start_do_not_bind_a_later_one(world, said):
     answer_with(world, said)
     world.view.note_start("t1", NEW, world.net.seconds())
@@ -75,23 +75,23 @@
     assert allowed_kinds(world) != set(CallKind)
 
 
-def test_of_two_rests_the_later_end_counts(world):
+def test_of_two_backoffs_the_later_end_counts(world):
     answer_with(world, Statements(rest_s=4.0))
     world.net.advance(1.0)
     answer_with(world, Statements(rest_s=1.0))
     assert world.statements.rest_s("t1") == pytest.approx(3.0)
 
 
-def test_an_answer_without_a_rest_does_not_end_one(world):
-    answer_with(world, RESTS)
+def test_an_answer_without_a_backoff_does_not_end_one(world):
+    answer_with(world, BACKOFF)
     answer_with(world, Statements())
     assert world.statements.rest_s("t1") == pytest.approx(3.0)
 
 
-def test_a_long_rest_is_cut_to_the_maximum(world):
+def test_a_long_backoff_is_cut_to_the_maximum(world):
     answer_with(world, Statements(rest_s=9e8))
-    assert world.statements.rest_s("t1") == MAX_REST_S
-    world.net.advance(MAX_REST_S)
+    assert world.statements.rest_s("t1") == MAX_BACKOFF_S
+    world.net.advance(MAX_BACKOFF_S)
     assert allowed_kinds(world) == set(CallKind)
 
 
@@ -104,8 +104,8 @@
     assert not world.targets.accepts_requests("t1")
 
 
-def test_operators_see_leaving_targets_with_their_source_and_resting_targets(world):
-    answer_with(world, RESTS)
+def test_operators_see_leaving_targets_with_their_source_and_targets_in_backoff(world):
+    answer_with(world, BACKOFF)
     answer_with(world, LEAVES)
     world.statements.receive(Gossip("peer", leaving_targets=[LeavingNote("t2", 0)]))
     world.net.advance(1.0)
@@ -134,8 +134,8 @@
     assert world.targets.accepts_requests("t1")
 
 
-def test_a_rest_survives_a_lapse_of_the_targets_entry(world):
-    answer_with(world, RESTS)
+def test_a_backoff_survives_a_lapse_of_the_targets_entry(world):
+    answer_with(world, BACKOFF)
     world.view.forget("t1")
     world.view.note_start("t1", OLD, world.net.seconds())
     assert allowed_kinds(world) == {CallKind.RENEW}
@@ -145,11 +145,11 @@
 
 
 def test_an_unreadable_statement_is_logged_once_until_it_changes(world, caplog):
-    odd = [
+    malformed = [
         Statements(malformed=(MalformedStatement("rest_s", text),))
         for text in ("soon", "soon", "later")
     ]
-    for said in odd:
+    for said in malformed:
         answer_with(world, said)
     lines = [row for row in caplog.records if row.message == "unreadable statement from target"]
     assert [row.said for row in lines] == ["soon", "later"]
--- a/gladedrum/placing/work_plan.py
+++ b/gladedrum/placing/work_plan.py
@@ -1,4 +1,4 @@
-"""Work plans: what is placed on which targets, in the form that ledgers and peers share."""
+"""Work plans: the record of a placement, as ledgers keep it and boxes send it to each other."""
 
 from dataclasses import dataclass
 
@@ -22,11 +22,11 @@
     prompt_tokens, answer_tokens : int
         Size of the request.
     value : float
-        Credit for serving it in time.
+        Worth of serving it in time, see `expected_loss.worth_of`.
     first_due_in_s : float
         Seconds until its first event is due.
     pause_limit_s : float
-        Target value of the longest pause between events, in seconds.
+        Longest acceptable pause between events, in seconds.
     reserved : bool
         Whether each target holds the part of the prompt that it reads.
     lost_in_s : float
@@ -34,7 +34,7 @@
     digest : bytes
         Digest of the request's content if it is suspected of ending targets, else empty.
     alone : bool
-        Whether no other request may run beside it.
+        Whether no other request may run on its targets.
     """
 
     work_id: str
@@ -68,7 +68,7 @@
 
 
 def note_from_plan(plan: WorkPlan, change: int) -> WorkNote:
-    """Return the note that tells peers about a change of the work."""
+    """Return the note that tells peers that work was placed, has ended or has otherwise changed."""
     return WorkNote(
         plan.work_id,
         change,
