--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -49,8 +49,8 @@
 higher than this on the targets that serve it best. Serving it would only delay other requests."""
 
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.25, 10.0
-"""Bounds of Retry-After for a request that is refused because of `MAX_LOST_CHANCE`, in seconds: a
-few engine passes, and the longest time that callers wait."""
+"""Bounds of Retry-After for a request that `MAX_LOST_CHANCE` refuses, in seconds: a few passes
+of an engine, and the longest time that callers wait."""
 
 WARM_UP_S = 3.0
 """How long a box is *cold* after it starts to receive notes on all work, in seconds. A cold box
