--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -22,16 +22,17 @@
 __all__ = ["ConfigurationFollower"]
 
 WATCH_S = 1.1
-"""Duration of one watch for a newer configuration, in seconds. Each watch is paid for, and confirms
-the configuration when it ends. Well below the bound on keys; above the second in which a watch may
-miss that the store has dropped its history."""
+"""Duration of one watch for a newer configuration, in seconds. The store charges per watch. A
+watch confirms the configuration when it ends, so it is well below the bound after which a revoked
+key must be refused. It is longer than the 1 s in which a watch may not yet report that the store
+has dropped its history."""
 
 WATCH_GRACE_S = 0.1
 """How late the answer to a watch may be, in seconds; several times the duration of a call. After
 that the answer may have been lost, and a change with it."""
 
 READ_MARGIN_S = 0.15
-"""How long before the bound on changes a box reads the store itself if no peer has confirmed the
+"""How long before `change_bound_s` a box reads the store itself if no peer has confirmed the
 configuration, in seconds; several times the duration of a read."""
 
 FOLLOW_CHECK_INTERVAL_S = 0.5
@@ -41,9 +42,9 @@
 """How long reads of a restored store confirm nothing, in seconds.
 
 The operator repeats lost writes in this time; until then, a key that was revoked could seem valid.
-Together with the watch before and the question to a peer after, it stays below the 3 s of age at
-which a box reports itself not ready. Boxes that rely on peers continue to, since their own reads
-would not count either.
+Together with the duration of the watch before it and the interval to the next question to a peer,
+it stays below the age of 3 s at which a box reports itself not ready. Boxes that rely on peers
+continue to rely on them, since their own reads would not count either.
 """
 
 _log = logging.getLogger(__name__)
@@ -124,7 +125,7 @@
         while True:
             if self._may_rely_on_peers():
                 self._revision = None
-                await self._wait_for_peer_news()
+                await self._wait_for_newer_version()
                 continue
             try:
                 await self._call_store()
@@ -167,10 +168,10 @@
     def _may_rely_on_peers(self) -> bool:
         known = self.table is not None and not self._newer_version_known
         distrusted = self._clock.seconds() < self._distrusted_until_s + FOLLOW_CHECK_INTERVAL_S
-        young = self.age_s < self._max_age_s or distrusted
-        return known and young and self._pace.follows_peers()
+        recent = self.age_s < self._max_age_s or distrusted
+        return known and recent and self._pace.follows_peers()
 
-    async def _wait_for_peer_news(self) -> None:
+    async def _wait_for_newer_version(self) -> None:
         """Wait until a peer reports a newer version or the next check is due."""
         left_s = max(0.0, min(FOLLOW_CHECK_INTERVAL_S, self._max_age_s - self.age_s))
         if self._clock.seconds() < self._distrusted_until_s + FOLLOW_CHECK_INTERVAL_S:
@@ -185,27 +186,27 @@
     async def _call_store(self) -> None:
         sent_s = self._clock.seconds()
         if self._revision is None:
-            news = await self._feed.read(probe=not self._connected)
+            update = await self._feed.read(probe=not self._connected)
         else:
             self._watch_sent_s = sent_s
             try:
-                news = await self._feed.watch(self._revision, self._watch_duration_s(sent_s))
+                update = await self._feed.watch(self._revision, self._watch_duration_s(sent_s))
             finally:
                 self._watch_sent_s = float("-inf")
-        self._apply_news(news, sent_s)
+        self._apply_update(update, sent_s)
 
     def _watch_duration_s(self, now_s: float) -> float:
         """Return how long to watch; a watch ends when the store can be trusted again."""
         distrusted_s = self._distrusted_until_s - now_s
         return min(WATCH_S, distrusted_s) if distrusted_s > 0 else WATCH_S
 
-    def _apply_news(self, news: ConfigurationUpdate, sent_s: float) -> None:
-        self._revision = news.revision
+    def _apply_update(self, update: ConfigurationUpdate, sent_s: float) -> None:
+        self._revision = update.revision
         self._newer_version_known = False
         before = self.table
-        self._apply(news.table, news.raw)
-        if news.table is not None:
-            self._store_is_behind = news.table.version < self.table.version
+        self._apply(update.table, update.raw)
+        if update.table is not None:
+            self._store_is_behind = update.table.version < self.table.version
         is_distrusted = sent_s < self._distrusted_until_s and self.table is before
         if not is_distrusted and not self._store_is_behind:
             self._confirm(sent_s)
--- a/gladedrum/beliefs/coordinators.py
+++ b/gladedrum/beliefs/coordinators.py
@@ -25,12 +25,13 @@
 """Members in a larger fleet: tolerates the loss of several, at few datagrams per change."""
 
 READER_COUNT = 2
-"""Readers: boxes that read the list of targets for all others, because each read is paid for. If
-one is lost, the other still answers every second question, which is often enough."""
+"""Number of readers in a small fleet. Readers read the list of targets for all other boxes, since
+the store charges per read. If one is lost, the other still answers every second question, which is
+often enough."""
 
 ANSWER_TIMEOUT_S = 0.04
-"""Time limit for a member's answer that needs no decision, in seconds: a few round trips between
-data halls."""
+"""Time limit for a member's answer about a retry or a place at a rate-limited target, which needs
+no placement decision, in seconds: a few round trips between data halls."""
 
 
 class CoordinatorGroup:
@@ -78,7 +79,10 @@
         return precedence(name, self._capacity_of(name))
 
     def readers(self) -> list[str]:
-        """Return the boxes that read the list of targets for the others."""
+        """Return the boxes that read the list of targets for the others.
+
+        In a large fleet these are all members.
+        """
         if self.is_whole_fleet:
             return self.ranked_members()[:READER_COUNT]
         return self.members()
@@ -104,7 +108,7 @@
         return self.me in self.members()
 
     def excludes_me(self) -> bool:
-        """Whether this box leaves decisions and reads of the store to members."""
+        """Whether this box is no member, so that members decide and read the store for it."""
         return not self.includes_me()
 
     def address(self, name: str) -> tuple[str, int] | None:
--- a/gladedrum/beliefs/list_parts.py
+++ b/gladedrum/beliefs/list_parts.py
@@ -5,13 +5,13 @@
 from ..fleet import TargetEntry
 from ..gossip.wire.ttypes import ListPart, TargetRow
 
-__all__ = ["SentLists", "changed_list", "list_parts", "whole_list"]
+__all__ = ["SentLists", "apply_difference", "entries_in", "list_parts"]
 
 ROWS_PER_PART = 12
 """Targets per part, so that a part fits in one datagram of about 1,000 bytes."""
 
 MAX_SENT_LISTS = 16
-"""Earlier lists that can be the base of a difference: several seconds of frequent changes."""
+"""Number of lists that are kept as bases for differences: several seconds of frequent changes."""
 
 
 class SentLists:
@@ -38,9 +38,9 @@
     age_s: float,
 ) -> list[ListPart]:
     """Return the parts that turn `before` into `entries`; all of `entries` if it is None."""
-    had = before or {}
-    rows = [TargetRow(*e) for name, e in sorted(entries.items()) if had.get(name) != e]
-    gone = sorted(had.keys() - entries.keys())
+    known = before or {}
+    rows = [TargetRow(*e) for name, e in sorted(entries.items()) if known.get(name) != e]
+    gone = sorted(known.keys() - entries.keys())
     starts = range(0, max(1, len(rows)), ROWS_PER_PART)
     return [
         ListPart(
@@ -56,19 +56,19 @@
     ]
 
 
-def whole_list(parts: Iterable[ListPart]) -> dict[str, TargetEntry]:
+def entries_in(parts: Iterable[ListPart]) -> dict[str, TargetEntry]:
     """Return the entries of all parts."""
     return {row.name: _entry_of(row) for part in parts for row in part.rows or ()}
 
 
-def changed_list(
+def apply_difference(
     before: Mapping[str, TargetEntry], parts: Iterable[ListPart]
 ) -> dict[str, TargetEntry]:
     """Return `before` with the differences in `parts` applied."""
     parts = list(parts)
     gone = {name for part in parts for name in part.gone or ()}
     kept = {name: entry for name, entry in before.items() if name not in gone}
-    return {**kept, **whole_list(parts)}
+    return {**kept, **entries_in(parts)}
 
 
 def _entry_of(row: TargetRow) -> TargetEntry:
--- a/gladedrum/beliefs/membership.py
+++ b/gladedrum/beliefs/membership.py
@@ -3,8 +3,8 @@
 A registered box has an entry in the store under a lease. In a small fleet every box is registered.
 In a large one only the `REGISTERED_BOXES` boxes with the highest precedence (see `precedence`) are,
 because they may become coordinators; registering every box would cost store calls, log lines and
-greetings that grow with the square of the fleet. Other boxes are known from their datagrams, and
-receive the list of entries from the coordinators that they ask.
+announcements that grow with the square of the fleet. Other boxes are known from their datagrams,
+and receive the list of entries from the coordinators that they ask.
 """
 
 import contextlib
@@ -52,7 +52,7 @@
 keeps their calls below the rate that the store accepts."""
 
 PEER_TIMEOUT_S = 6.0
-"""How long an unlisted box counts as a peer after its last datagram, in seconds."""
+"""How long an unregistered box counts as a peer after its last datagram, in seconds."""
 
 PEER_CHECK_INTERVAL_S = 0.5
 """Interval between checks for silent peers, in seconds."""
@@ -61,9 +61,11 @@
 """Largest plausible capacity of a box, in cores."""
 
 MAX_NAMES_LOGGED = 8
-"""Names in a log line about the list; after the loss of a whole fleet every name changes."""
+"""Maximum number of added or removed boxes that a log line names; every box may change at once."""
+
+_RETRY_PAUSE_S = (0.5, 1.2)
+"""Range of the pause after a failed call to the store, in seconds."""
 
-_RETRY_S = (0.5, 1.2)
 _STORE_ERRORS = (KVUnavailableError, KVUnknownError, KVConflictError)
 
 _log = logging.getLogger(__name__)
@@ -242,7 +244,9 @@
         """Update `peers`; `reordered` if capacities changed, which affects precedence."""
         now_s = self._peers_updated_s = self._clock.seconds()
         self._last_datagrams = {
-            a: h for a, h in self._last_datagrams.items() if now_s - h.at_s < PEER_TIMEOUT_S
+            address: last
+            for address, last in self._last_datagrams.items()
+            if now_s - last.at_s < PEER_TIMEOUT_S
         }
         # The entry of an ended box may remain listed, for example while the store is unavailable.
         self._ended_s = {
@@ -250,7 +254,7 @@
             for n, s in self._ended_s.items()
             if n in self.entries or now_s - s < PEER_TIMEOUT_S
         }
-        names = {heard.name for heard in self._last_datagrams.values()}
+        names = {last.name for last in self._last_datagrams.values()}
         self._reported_capacity = {n: c for n, c in self._reported_capacity.items() if n in names}
         listed = {
             n: e.address
@@ -259,7 +263,7 @@
         }
         peers = {
             **listed,
-            **{heard.name: address for address, heard in self._last_datagrams.items()},
+            **{last.name: address for address, last in self._last_datagrams.items()},
         }
         if reordered or peers != self._peers:
             self._peers = peers
@@ -278,9 +282,10 @@
                 if self._connected:
                     _log.warning("cannot update the list of boxes", extra={"reason": str(exc)})
                 self._connected = False
-                await sleep(self._clock, self._rng.uniform(*_RETRY_S))
+                await sleep(self._clock, self._rng.uniform(*_RETRY_PAUSE_S))
                 continue
             await self._pause(self._renew_interval_s * self._rng.uniform(0.8, 1.0))
+        # The process ends soon; the supervisor would run a task that returns again.
         await sleep(self._clock, 3600)
 
     async def _pause(self, pause_s: float) -> None:
@@ -311,11 +316,12 @@
     async def _wait_for_turn(self) -> None:
         """Wait until boxes of higher precedence have registered, then read the list.
 
-        A stale read is cheaper. At worst this box registers needlessly and unregisters at its next
+        The read may be stale: at worst this box registers needlessly and unregisters at its next
         refresh.
         """
         share = int.from_bytes(rank(self.name)) / 2 ** (8 * len(rank(self.name)))
         await sleep(self._clock, share * self._stagger_s)
+        # If the read fails, `run` refreshes anyway and retries.
         with contextlib.suppress(*_STORE_ERRORS):
             await self._list()
 
@@ -374,6 +380,7 @@
         return True
 
     async def _list(self, fresh: bool = False) -> None:
+        """Read the list; by a stale read, which is cheaper, if a list is known and not `fresh`."""
         stale = self.revision != NEVER and not fresh
         listing = await self._store.list(BOXES_PREFIX, stale=stale)
         if listing.revision < self.revision:
--- a/gladedrum/beliefs/peer_sync.py
+++ b/gladedrum/beliefs/peer_sync.py
@@ -6,10 +6,11 @@
 their ages. If a version equals the box's own, the answer confirms it: its age becomes the peer's
 age plus the time since the question was sent, regardless of delays. Different lists of targets or
 boxes and a newer configuration are sent with the answer; a large configuration is read from the
-store. If nobody answers, the box reads the store itself.
+store. If nobody answers, the box reads the store itself. On the wire, a question is a `VouchAsk`
+and an answer a `VouchNote`.
 
-Both sides also compare checksums of the requests known to crash targets, and send theirs if they
-differ.
+Both sides also compare checksums of the losses that they know (see `KnownLosses`), and send theirs
+if they differ.
 
 A starting box asks the seeds in its settings. So it serves within milliseconds even during an
 outage of the store, and a rolling restart of the fleet costs no store calls.
@@ -19,7 +20,7 @@
 import random
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import Protocol as Interface
+from typing import Protocol
 
 from twisted.internet.interfaces import IReactorTime
 
@@ -32,7 +33,7 @@
 from .configuration import ConfigurationFollower
 from .configuration_parts import ReceivedConfiguration, configuration_parts
 from .coordinators import CoordinatorGroup
-from .list_parts import SentLists, changed_list, list_parts, whole_list
+from .list_parts import SentLists, apply_difference, entries_in, list_parts
 from .membership import BoxEntry, BoxRegistry, digest_of, valid_capacity
 from .store_pace import StorePace
 from .target_list import TargetListFollower
@@ -43,18 +44,18 @@
 """Interval between questions, in seconds: several questions within the shortest bound."""
 
 STALE_ASK_INTERVAL_S = 0.15
-"""As `ASK_INTERVAL_S` while the configuration is too old to use: the box refuses callers until it
-hears that a member has read the store."""
+"""As `ASK_INTERVAL_S` while the configuration is too old to use: the box refuses callers until an
+answer shows that a member has read the store."""
 
 MAX_OPEN_QUESTIONS = 16
 """Number of latest questions whose answers are accepted."""
 
-MAX_PARTS = 512
+MAX_LIST_PARTS = 512
 """Maximum number of parts of a peer's list."""
 
 
-class KnownLosses(Interface):
-    """What a box knows of requests that were lost with their targets."""
+class KnownLosses(Protocol):
+    """The losses that a box knows; a loss is a request that was lost together with its target."""
 
     @property
     def checksum(self) -> int:
@@ -102,11 +103,11 @@
     pace : StorePace
         Notified of peers' answers.
     losses : KnownLosses
-        Requests known to crash targets.
+        The losses that this box knows.
     seeds : sequence of (str, int)
         Boxes to ask at the start.
     keeps_asking : bool
-        Whether to repeat questions to the seeds until one answers.
+        Whether to ask the seeds again until one answers.
     """
 
     def __init__(
@@ -140,6 +141,7 @@
         self._ids = itertools.count(1)
         self._open_questions: dict[int, _Question] = {}
         self._sent_lists = SentLists()
+        # Starts anywhere, so that the questions of boxes that start together are spread.
         self._rotation = itertools.count(random.randrange(MAX_OPEN_QUESTIONS))
 
     async def run(self) -> None:
@@ -159,11 +161,11 @@
         for ask in received.vouch_asks or ():
             self._answer(ask, address)
         self._received_configuration.add(received.configuration_parts or ())
-        for note in received.vouches or ():
-            if note.losses is not None:
+        for answer in received.vouches or ():
+            if answer.losses is not None:
                 self._losses.note_compared()
-            self._compare_losses(note.losses, address)
-            self._receive_answer(note)
+            self._compare_losses(answer.losses, address)
+            self._receive_answer(answer)
         for part in received.list_parts or ():
             self._receive_part(part)
 
@@ -209,17 +211,17 @@
             self._send_boxes(ask, address)
             return
         self._send_configuration(ask, address)
-        note = VouchNote(ask.ask_id, table.version, self._configuration.age_s)
+        answer = VouchNote(ask.ask_id, table.version, self._configuration.age_s)
         # Boxes that have all just started must not take each other's empty state for complete.
-        note.losses = self._losses.checksum if self._losses.is_informed else None
-        note.table_era, note.table_revision = self._table.table.full_revision
+        answer.losses = self._losses.checksum if self._losses.is_informed else None
+        answer.table_era, answer.table_revision = self._table.table.full_revision
         certain = self._targets.is_certain and bool(self._targets.entries)
         if certain:
-            note.targets_digest = self._targets.digest
-            note.targets_age_s = self._targets.age_s
-        note.boxes = self._boxes_to_send(ask)
-        note.boxes_era, note.boxes_revision = self._registry.revision
-        self._port.vouch(address, note)
+            answer.targets_digest = self._targets.digest
+            answer.targets_age_s = self._targets.age_s
+        answer.boxes = self._boxes_to_send(ask)
+        answer.boxes_era, answer.boxes_revision = self._registry.revision
+        self._port.vouch(address, answer)
         if certain:
             self._send_list(ask, address)
 
@@ -228,8 +230,8 @@
         boxes = self._boxes_to_send(ask)
         if boxes:
             era, number = self._registry.revision
-            note = VouchNote(ask.ask_id, boxes=boxes, boxes_revision=number, boxes_era=era)
-            self._port.vouch(address, note)
+            answer = VouchNote(ask.ask_id, boxes=boxes, boxes_revision=number, boxes_era=era)
+            self._port.vouch(address, answer)
 
     def _send_configuration(self, ask: VouchAsk, address: tuple[str, int]) -> None:
         """Send the configuration if it is newer than the asking box's, before the answer."""
@@ -257,40 +259,40 @@
         for part in list_parts(ask.ask_id, before, entries, self._targets.age_s):
             self._port.send_list_part(address, part)
 
-    def _receive_answer(self, note: VouchNote) -> None:
-        question = self._open_questions.get(note.ask_id)
+    def _receive_answer(self, answer: VouchNote) -> None:
+        question = self._open_questions.get(answer.ask_id)
         if question is None:
             return
         sent_s = question.sent_s
-        boxes = None if note.boxes is None else _box_entries(note.boxes)
-        boxes_at = Revision(note.boxes_era or 0, note.boxes_revision or 0)
-        is_newer = self._registry.receive_entries(boxes, boxes_at)
-        if note.version is None:
+        boxes = None if answer.boxes is None else _box_entries(answer.boxes)
+        boxes_revision = Revision(answer.boxes_era or 0, answer.boxes_revision or 0)
+        is_newer = self._registry.receive_entries(boxes, boxes_revision)
+        if answer.version is None:
             if is_newer:
                 self._ask()
             return
         self._pace.note_peer_answer(sent_s)
-        table_at = Revision(note.table_era or 0, note.table_revision or 0)
-        self._table_follower.note_peer_revision(table_at)
-        self._apply_configuration(note, sent_s)
-        if note.targets_digest and note.targets_age_s is not None:
-            self._targets.confirm_from_peer(note.targets_digest, sent_s, note.targets_age_s)
+        table_revision = Revision(answer.table_era or 0, answer.table_revision or 0)
+        self._table_follower.note_peer_revision(table_revision)
+        self._apply_configuration(answer, sent_s)
+        if answer.targets_digest and answer.targets_age_s is not None:
+            self._targets.confirm_from_peer(answer.targets_digest, sent_s, answer.targets_age_s)
 
-    def _apply_configuration(self, note: VouchNote, sent_s: float) -> None:
+    def _apply_configuration(self, answer: VouchNote, sent_s: float) -> None:
         raw = (
-            self._received_configuration.assemble(note.version)
-            if note.version > self._version
+            self._received_configuration.assemble(answer.version)
+            if answer.version > self._version
             else None
         )
         if raw is not None:
-            age_s = note.configuration_age_s or 0.0
+            age_s = answer.configuration_age_s or 0.0
             self._configuration.apply_peer_configuration(raw, sent_s - age_s)
-        self._configuration.confirm_from_peer(note.version, sent_s, note.configuration_age_s)
+        self._configuration.confirm_from_peer(answer.version, sent_s, answer.configuration_age_s)
 
     def _receive_part(self, part: ListPart) -> None:
         question = self._open_questions.get(part.ask_id)
         count = part.parts or 0
-        if question is None or not 0 <= (part.part or 0) < count <= MAX_PARTS:
+        if question is None or not 0 <= (part.part or 0) < count <= MAX_LIST_PARTS:
             return
         question.parts[part.part or 0] = part
         if len(question.parts) < count:
@@ -304,12 +306,12 @@
     def _assemble(
         self, parts: list[ListPart], question: _Question
     ) -> dict[str, TargetEntry] | None:
-        """Return the complete list; None if it is a difference from a list no longer in use."""
+        """Return the complete list; None for a difference if this box's list has changed since."""
         if not any(p.is_difference for p in parts):
-            return whole_list(parts)
+            return entries_in(parts)
         if self._targets.digest != question.digest:
             return None
-        return changed_list(self._targets.entries, parts)
+        return apply_difference(self._targets.entries, parts)
 
 
 def _box_entries(rows: list[BoxRow]) -> dict[str, BoxEntry]:
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -1,4 +1,4 @@
-"""The box's copies of what the store holds: configuration, targets, table and other boxes."""
+"""Creates and connects the followers of the store: configuration, targets, table and boxes."""
 
 import logging
 import random
@@ -30,11 +30,11 @@
 
 FIRST_START_SEED_TIMEOUT_S = 4.0
 """As `SEED_TIMEOUT_S` when the whole fleet starts for the first time: the seeds read the store for
-all boxes, and callers come later."""
+all boxes, and callers connect only later."""
 
 FIRST_START_STAGGER_S = 5.0
-"""Time over which the boxes of such a fleet check one after another whether to register, so that
-each knows the entries before it, in seconds."""
+"""Time over which the boxes of a fleet that starts for the first time check one after another
+whether to register, in seconds. So each box knows the entries of those before it."""
 
 FIRST_START_MARGIN_S = 1.0
 """How long after the stagger a box assumes that its list of entries is complete, in seconds."""
@@ -42,8 +42,8 @@
 PEER_DISCOVERY_TIMEOUT_S = 3.0
 """How long a box that knows targets but no peers does no work on behalf of the fleet, in seconds.
 
-It may be one of hundreds that started at once during an outage of the store; if each took itself
-for the only box, all of them would read the load of every engine.
+It may be one of hundreds that started at once during an outage of the store; if each
+assumed that it is the only box, all of them would read the load of every engine.
 """
 
 SEED_CHECK_INTERVAL_S = 0.003
@@ -53,10 +53,10 @@
 class BeliefSettings(Protocol):
     """The settings used by this package.
 
-    Parameters
+    Attributes
     ----------
     peers : (str, int)
-        Where this box receives datagrams.
+        Where this box receives datagrams from its peers.
     change_bound_s, leave_bound_s : float
         Time within which a changed configuration must be in force, and after which a leaving
         target must get no requests, in seconds.
@@ -91,8 +91,10 @@
         Bounds, addresses and capacity.
     rng : random.Random
         Adds jitter to store calls.
-    on_gone, on_listed : callable
-        Called with each target that was removed; with each that is new or has started again.
+    on_gone : callable
+        Called with the entry of each target that was removed from the list.
+    on_listed : callable
+        Called with the entry of each target that is new or has started again.
 
     Attributes
     ----------
@@ -148,11 +150,11 @@
 
         store.on_restored.append(self._on_store_restored)
 
-    def _on_store_restored(self, before: int, era: int) -> None:
+    def _on_store_restored(self, previous_era: int, era: int) -> None:
         """Notify every follower that the store was restored from an earlier copy."""
         extra = {
             "era": era,
-            "before": before,
+            "before": previous_era,
             "entry_written_anew": self.registry.is_registered,
             "list_as_of": self.registry.revision.number,
             "version": self.configuration.table.version if self.configuration.table else None,
@@ -228,7 +230,7 @@
         return self.table.table.effective(organisation, route).name("policy")
 
     def engines(self) -> list[TargetEntry]:
-        """Return the targets whose service is configured as an engine."""
+        """Return the targets that report their load: those of services that have an engine."""
         entries = self.targets.entries.values()
         return [entry for entry in entries if self.service(entry.service).engine is not None]
 
--- a/gladedrum/beliefs/store_pace.py
+++ b/gladedrum/beliefs/store_pace.py
@@ -7,16 +7,17 @@
 
 __all__ = ["StorePace"]
 
-RETRY_S = (0.1, 0.3)
+RETRY_PAUSE_S = (0.1, 0.3)
 """Range of the pause after a failed call, in seconds. Short, because requests with keys may be
-refused until the box reaches the store again; not shorter, because each call is paid for."""
+refused until the box reaches the store again; not shorter, because the store charges per call."""
 
-RETRY_WITH_PEERS_S = (1.2, 2.0)
-"""As `RETRY_S` while peers answer: they report when the store is back."""
+RETRY_PAUSE_WITH_PEERS_S = (1.2, 2.0)
+"""As `RETRY_PAUSE_S` while peers answer: they report when the store is back."""
 
-LARGE_FLEET_RETRY_S = (2.5, 4.0)
-"""As `RETRY_WITH_PEERS_S` outside the coordinator group of a large fleet, whose members detect the
-store's return. Shorter than the minimum time without contact after which the bounds apply."""
+LARGE_FLEET_RETRY_PAUSE_S = (2.5, 4.0)
+"""As `RETRY_PAUSE_WITH_PEERS_S` outside the coordinator group of a large fleet, whose members
+detect the store's return. Shorter than the minimum time without contact after which the bounds
+apply."""
 
 PEER_SILENCE_S = 1.5
 """Peers count as unreachable once their last answer is older than this, in seconds."""
@@ -66,7 +67,7 @@
         silent_s = self._clock.seconds() - self._peer_answered_s
         alone = silent_s > PEER_SILENCE_S or not follows
         if alone:
-            return self._rng.uniform(*RETRY_S)
+            return self._rng.uniform(*RETRY_PAUSE_S)
         return self._rng.uniform(
-            *(LARGE_FLEET_RETRY_S if self.follows_peers() else RETRY_WITH_PEERS_S)
+            *(LARGE_FLEET_RETRY_PAUSE_S if self.follows_peers() else RETRY_PAUSE_WITH_PEERS_S)
         )
--- a/gladedrum/beliefs/target_list.py
+++ b/gladedrum/beliefs/target_list.py
@@ -21,11 +21,11 @@
 __all__ = ["TargetListFollower"]
 
 READ_INTERVAL_FRACTION = 0.4
-"""Interval between reads of the list, as a fraction of the leave bound, which fits two reads."""
+"""Interval between reads of the list, as a fraction of the leave bound. Two reads fit in it."""
 
 PEER_LIST_AGE_FRACTION = 0.75
 """Age up to which a box relies on its peers' list, as a fraction of the leave bound. It allows for
-the age of a reader's list and two questions."""
+the age of a reader's list and two questions to readers."""
 
 REAPPEAR_GRACE_S = 2.2
 """How long entries missing after an outage of the store may take to reappear, in seconds. Targets
@@ -128,7 +128,7 @@
         """Record that a start of a target has announced that it is leaving.
 
         This overrides the list for the lifetime of this start, even if its entry has expired or
-        was not read yet. Returns whether the listed target was not known to be leaving.
+        was not read yet. Returns whether the target is listed and was not yet known to be leaving.
         """
         entry = self.entries.get(name)
         if entry is None:
@@ -198,23 +198,23 @@
         known_s = max(self._read_s, self._peer_list_s)
         if read_s <= known_s:
             return
-        # Successive lists from peers show that the store answers them, though not this box.
+        # Successive lists show that the store answers peers; only this box cannot reach it.
         if not self._connected and read_s - known_s > self._max_age_s + OUTAGE_THRESHOLD_S:
             self._note_outage()
         # Set even if the list confirms nothing: an older list must not remove its new targets.
         self._peer_list_s = read_s
-        news = {name: entry for name, entry in listed.items() if not self._is_known_gone(entry)}
-        for name in news:
+        accepted = {name: entry for name, entry in listed.items() if not self._is_known_gone(entry)}
+        for name in accepted:
             self._gone_starts.pop(name, None)
-        if len(news) == len(listed):
+        if len(accepted) == len(listed):
             self._note_confirmed(read_s)
-        self._replace(news)
+        self._replace(accepted)
 
     @property
     def _max_age_s(self) -> float:
         """Age at which this box reads the list itself, in seconds."""
-        share = PEER_LIST_AGE_FRACTION if self._pace.follows_list() else READ_INTERVAL_FRACTION
-        return share * self._leave_bound_s
+        fraction = PEER_LIST_AGE_FRACTION if self._pace.follows_list() else READ_INTERVAL_FRACTION
+        return fraction * self._leave_bound_s
 
     def _note_confirmed(self, read_s: float) -> None:
         self._read_s = max(self._read_s, read_s)
@@ -254,8 +254,8 @@
             leaving = sorted(entry.name for entry in listed.values() if entry.leaving)
             extra = {"targets": len(listed), "leaving": leaving[:MAX_NAMES_LOGGED]}
             _log.info("targets listed", extra=extra)
-        news = {name: self._merge_entry(entry) for name, entry in listed.items()}
-        entries = {**{name: self.entries[name] for name in kept}, **news}
+        merged = {name: self._merge_entry(entry) for name, entry in listed.items()}
+        entries = {**{name: self.entries[name] for name in kept}, **merged}
         if entries != self.entries:
             self.entries = entries
 
--- a/gladedrum/beliefs/tests/__init__.py
+++ b/gladedrum/beliefs/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package."""
+"""Tests of `gladedrum.beliefs`."""
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -33,6 +33,7 @@
 DATAGRAM_DELAY_S = 0.0014
 """Delay of a datagram between data halls, in seconds."""
 STEP_S = 0.002
+"""Step of the virtual clock, in seconds."""
 
 
 class StoreCalls:
@@ -58,12 +59,15 @@
     def _note_era(self) -> None:
         before, self.era = self.era, self._store.era
         if 0 < before < self.era:
-            for tell in self.on_restored:
-                tell(before, self.era)
+            for callback in self.on_restored:
+                callback(before, self.era)
 
 
 class VirtualStore:
-    """In-memory store on a virtual clock; `calls` counts calls by kind."""
+    """In-memory store on a virtual clock.
+
+    `calls` counts calls by kind, `listed` reads of a list by prefix.
+    """
 
     def __init__(self, clock: Clock):
         self.clock = clock
@@ -73,7 +77,7 @@
         self.revision = 0
         self._items: dict[str, StoredItem] = {}
         self._lease_of: dict[str, Lease | None] = {}
-        self._until_s: dict[Lease, float] = {}
+        self._expires_s: dict[Lease, float] = {}
         self._ttl_s: dict[Lease, float] = {}
         self._next_lease = 1
         self.era = 1
@@ -81,79 +85,79 @@
         self._changed: defer.Deferred[None] = defer.Deferred()
 
     def keep_copy(self) -> None:
-        rows = self._items, self._lease_of, self._until_s, self._ttl_s
+        rows = self._items, self._lease_of, self._expires_s, self._ttl_s
         self._copy = self.revision, self._next_lease, [dict(row) for row in rows]
 
     def go_back(self) -> None:
-        """Restore the copy; targets and the operator repeat their writes at once."""
+        """Restore the copy; targets and the operator write theirs again at once."""
         written = {
             key: item.value
             for key, item in self._items.items()
             if key.startswith((wire.CONFIGURATION_PREFIX, wire.TARGETS_PREFIX))
         }
         self.revision, self._next_lease, rows = self._copy
-        self._items, self._lease_of, self._until_s, self._ttl_s = (dict(row) for row in rows)
+        self._items, self._lease_of, self._expires_s, self._ttl_s = (dict(row) for row in rows)
         self.era += 1
         for key, value in written.items():
             self.write(key, value)
 
     def write(self, key: str, value: bytes, lease: Lease | None = None) -> None:
         self.revision += 1
-        self._items[key] = StoredItem(key, value, self._at)
+        self._items[key] = StoredItem(key, value, self._current_revision)
         self._lease_of[key] = lease
         changed, self._changed = self._changed, defer.Deferred()
         changed.callback(None)
 
     @property
-    def _at(self) -> Revision:
+    def _current_revision(self) -> Revision:
         return Revision(self.era, self.revision)
 
     def keys(self, prefix: str) -> list[str]:
-        self._drop_lapsed()
+        self._drop_expired()
         return [key for key in self._items if key.startswith(prefix)]
 
     async def list(self, prefix, stale=False, timeout_s=None):
         self.listed[prefix] += 1
         await self._call("stale list" if stale else f"list {prefix.split('/')[0]}")
         items = [self._items[key] for key in self.keys(prefix)]
-        return Listing(tuple(items), self._at)
+        return Listing(tuple(items), self._current_revision)
 
     async def watch(self, prefix, after_revision, wait_s):
         await self._call("watch")
         until_s, era = self.clock.seconds() + wait_s, self.era
         while self.clock.seconds() < until_s:
             if self.era != era or self.era != after_revision.era:
-                raise HistoryGoneError("another era")
+                raise HistoryGoneError("the store was restored")
             news = [i for i in self._items.values() if i.key.startswith(prefix)]
             news = [item for item in news if item.revision > after_revision]
             if news:
-                return WatchAnswer(tuple(news), self._at)
+                return WatchAnswer(tuple(news), self._current_revision)
             self._changed.addTimeout(
                 until_s - self.clock.seconds(), self.clock, onTimeoutCancel=lambda _r, _s: None
             )
             waiting, self._changed = self._changed, defer.Deferred()
-            self._changed.addCallback(lambda _none, waiting=waiting: _fire(waiting))
+            self._changed.addCallback(lambda _none, waiting=waiting: _resolve(waiting))
             await waiting
-        return WatchAnswer((), self._at)
+        return WatchAnswer((), self._current_revision)
 
     async def grant_lease(self, ttl_s):
         await self._call("grant")
         lease, self._next_lease = Lease(self.era, self._next_lease), self._next_lease + 1
         self._ttl_s[lease] = ttl_s
-        self._until_s[lease] = self.clock.seconds() + ttl_s
+        self._expires_s[lease] = self.clock.seconds() + ttl_s
         return lease
 
     async def keep_lease(self, lease):
         await self._call("keep")
-        self._drop_lapsed()
-        if lease not in self._until_s:
-            raise KVConflictError("over")
-        self._until_s[lease] = self.clock.seconds() + self._ttl_s[lease]
+        self._drop_expired()
+        if lease not in self._expires_s:
+            raise KVConflictError("the lease has ended")
+        self._expires_s[lease] = self.clock.seconds() + self._ttl_s[lease]
 
     async def end_lease(self, lease):
         await self._call("end")
-        self._until_s.pop(lease, None)
-        self._drop_lapsed()
+        self._expires_s.pop(lease, None)
+        self._drop_expired()
 
     async def transact(self, _conditions, puts, removals=(), lease=None):
         await self._call("write")
@@ -162,30 +166,30 @@
         for key in removals:
             self._items.pop(key, None)
             self._lease_of.pop(key, None)
-        return self._at
+        return self._current_revision
 
     async def _call(self, kind: str) -> None:
         self.calls[kind] += 1
         await sleep(self.clock, CALL_S)
         if self.away:
-            raise KVUnavailableError("away")
+            raise KVUnavailableError("unavailable")
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         now_s = self.clock.seconds()
-        self._until_s = {lease: s for lease, s in self._until_s.items() if s > now_s}
+        self._expires_s = {lease: s for lease, s in self._expires_s.items() if s > now_s}
         for key, lease in list(self._lease_of.items()):
-            if lease and lease not in self._until_s:
+            if lease and lease not in self._expires_s:
                 del self._items[key], self._lease_of[key]
                 self.revision += 1
 
 
-def _fire(waiting: defer.Deferred) -> None:
+def _resolve(waiting: defer.Deferred) -> None:
     if not waiting.called:
         waiting.callback(None)
 
 
 class NoLosses:
-    """Stands in for the requests known to crash targets: there are none."""
+    """Stands in for `KnownLosses`: there are none."""
 
     checksum = 0
     is_informed = True
@@ -194,7 +198,7 @@
         pass
 
     def send_all(self, _address) -> None:
-        raise AssertionError("there is nothing to tell")
+        raise AssertionError("there are no losses to send")
 
 
 class VirtualBox:
@@ -203,6 +207,7 @@
     def __init__(self, fleet: "VirtualFleet", number: int, generation: int, seeds: tuple):
         self.fleet = fleet
         self.address = (f"10.0.{number // 250}.{number % 250}", 7000)
+        # Every 13th box has four times the cores of the others.
         capacity = 2.15 if number % 13 == 0 else 0.516
         settings = SimpleNamespace(
             peers=self.address,
@@ -250,7 +255,7 @@
             task.addErrback(lambda failure: failure.trap(defer.CancelledError))
 
     def make_losses(self):
-        """Return the requests known to crash targets."""
+        """Return this box's `KnownLosses`."""
         return NoLosses()
 
     def leave(self) -> None:
--- a/gladedrum/beliefs/tests/test_announced_leaving.py
+++ b/gladedrum/beliefs/tests/test_announced_leaving.py
@@ -5,11 +5,12 @@
 """
 
 from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, RESTORE_HOLD_S
-from gladedrum.beliefs.tests.test_restarted_targets import NEW, OLD, Listed, entry
+from gladedrum.beliefs.tests.test_restarted_targets import NEW, OLD, FollowedTargets, entry
 
 
 def announced(born=OLD, announced_start=OLD):
-    listed = Listed(entry(born), entry(born, name="t2"))
+    """Return a list of t1 and t2 after a start of t1 has announced that it is leaving."""
+    listed = FollowedTargets(entry(born), entry(born, name="t2"))
     assert listed.follower.note_leaving("t1", announced_start)
     assert not listed.follower.note_leaving("t1", announced_start)
     return listed
@@ -27,7 +28,7 @@
 def test_an_entry_that_expires_and_reappears_is_still_leaving():
     listed = announced()
     listed.read(entry(OLD, name="t2"))
-    assert listed.now() is None
+    assert listed.current() is None
     listed.read(entry(OLD), entry(OLD, name="t2"))
     assert not listed.follower.accepts_requests("t1")
 
@@ -53,11 +54,11 @@
     listed.follower.note_start("t1", NEW)
     assert listed.follower.accepts_requests("t1")
     listed.read(entry(OLD), entry(OLD, name="t2"))
-    assert listed.now() == entry(NEW)
+    assert listed.current() == entry(NEW)
 
 
 def test_an_earlier_starts_announcement_does_not_apply_to_the_listed_start():
-    listed = Listed(entry(NEW))
+    listed = FollowedTargets(entry(NEW))
     assert not listed.follower.note_leaving("t1", OLD)
     assert listed.follower.accepts_requests("t1")
 
@@ -78,7 +79,7 @@
 
 
 def test_it_is_taken_from_a_peers_list_of_any_age():
-    listed = Listed(entry(OLD), entry(OLD, name="t2"))
+    listed = FollowedTargets(entry(OLD), entry(OLD, name="t2"))
     old_s = listed.clock.seconds() - 5.0
     peers = (entry(OLD, leaving=True), entry(OLD, name="t2"))
     listed.follower.apply_peer_list({e.name: e for e in peers}, old_s)
--- a/gladedrum/beliefs/tests/test_beliefs.py
+++ b/gladedrum/beliefs/tests/test_beliefs.py
@@ -117,7 +117,7 @@
 
 
 def test_a_box_reads_within_the_bound_after_peers_stop_confirming():
-    """Without a read in time, keys were refused after a restart of all boxes."""
+    """Otherwise keys are refused after a restart of all boxes."""
     clock, feed, configuration, _running = peer_reliant_follower()
     for _ in range(8):
         clock.advance(0.5)
@@ -198,7 +198,7 @@
 
 
 def test_a_box_that_has_just_started_does_not_keep_missing_entries():
-    """The first read once counted as the end of an outage."""
+    """The first read must not count as the end of an outage."""
     clock, feed, targets, gone = target_follower()
     answer(clock, feed, [entry("a"), entry("b")])
     answer(clock, feed, [entry("a")])
--- a/gladedrum/beliefs/tests/test_expired_entries.py
+++ b/gladedrum/beliefs/tests/test_expired_entries.py
@@ -1,7 +1,8 @@
 """Entries that expired in an outage of the store may reappear; a peer's list does not end them.
 
-Guards against a box that drops such targets on the list of a peer that started in the outage, and
-then never reads the store again, since lists that name the dropped targets confirm its own.
+Guards against a box that drops such targets because the list of a peer that started in the outage
+lacks them. Peers' later lists name them; if those confirmed the box's own, it would never read the
+store again.
 """
 
 from twisted.internet.task import Clock
--- a/gladedrum/beliefs/tests/test_first_start.py
+++ b/gladedrum/beliefs/tests/test_first_start.py
@@ -30,7 +30,7 @@
     assert sum(n * (0.1 if kind in cheap_calls else 1.0) for kind, n in calls) <= 260
 
 
-def test_all_boxes_are_informed_before_callers_come(fleet):
+def test_all_boxes_are_informed_before_callers_connect(fleet):
     assert informed(fleet) == BOXES
 
 
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -90,7 +90,7 @@
 
 
 def test_boxes_that_start_in_an_outage_do_not_assume_that_they_are_alone():
-    """Thundering herd: after a power failure every box read the load of all engines."""
+    """Thundering herd: otherwise every box reads the load of all engines after a power failure."""
     fleet = VirtualFleet(0)
     fleet.store.away = True
     for number in range(20):
@@ -101,9 +101,9 @@
     for _ in range(15):
         fleet.run(0.1)
         # Only the first registered box may read engines' load without knowing its peers.
-        readers = [belief for belief in beliefs if belief.is_informed and belief.knows_peers()]
-        assert sum(belief.coordinators.is_whole_fleet for belief in readers) <= SMALL_FLEET
-    assert len(readers) == len(beliefs)
+        informed = [belief for belief in beliefs if belief.is_informed and belief.knows_peers()]
+        assert sum(belief.coordinators.is_whole_fleet for belief in informed) <= SMALL_FLEET
+    assert len(informed) == len(beliefs)
     assert not any(belief.coordinators.is_whole_fleet for belief in beliefs)
 
 
@@ -111,7 +111,7 @@
     fleet = VirtualFleet(0)
     box = fleet.start(0)
     box.beliefs.registry.revision = NEVER
-    box.beliefs.registry._list = _unanswered
+    box.beliefs.registry._list = _unavailable
     fleet.run(0.5)
     assert box.beliefs.is_informed
     assert not box.beliefs.knows_peers()
@@ -119,8 +119,8 @@
     assert box.beliefs.knows_peers()
 
 
-async def _unanswered(fresh=False):
-    raise KVUnavailableError("away")
+async def _unavailable(fresh=False):
+    raise KVUnavailableError("unavailable")
 
 
 def test_after_an_outage_all_boxes_are_current_within_half_a_second(fleet):
--- a/gladedrum/beliefs/tests/test_leaving.py
+++ b/gladedrum/beliefs/tests/test_leaving.py
@@ -37,10 +37,10 @@
     for _ in range(8):
         fleet.run(DRAIN_S / 8)
         assert membership_count(fleet, box) == BOXES - 1
-        received = [
+        senders = [
             o for o in fleet.boxes.values() if box.address in o.beliefs.coordinators.recipients()
         ]
-        assert len(received) == BOXES - 1
+        assert len(senders) == BOXES - 1
 
 
 def test_a_box_that_has_ended_as_planned_is_no_member(fleet):
@@ -55,7 +55,7 @@
     assert all(other.beliefs.registry.count == BOXES - 1 for other in fleet.boxes.values())
 
 
-def test_a_farewell_that_overtakes_other_datagrams_is_repeated(fleet):
+def test_a_shutdown_notice_that_overtakes_other_datagrams_is_sent_again(fleet):
     box = stopping(fleet)
     fleet.run(DRAIN_S)
     box.port.announce_shutdown()
@@ -68,7 +68,7 @@
     assert box.beliefs.coordinators.me not in other.beliefs.coordinators.members()
 
 
-def test_after_its_farewell_a_box_sends_nothing_else(fleet):
+def test_after_its_shutdown_notice_a_box_sends_nothing_else(fleet):
     box = stopping(fleet)
     box.port.announce_shutdown()
     sent = []
--- a/gladedrum/beliefs/tests/test_membership.py
+++ b/gladedrum/beliefs/tests/test_membership.py
@@ -30,8 +30,8 @@
 
     def box(self, name, port, capacity=0.0):
         store = self.store()
-        place = ("127.0.0.1", port)
-        registry = BoxRegistry(reactor, store, name, place, random.Random(1), capacity)
+        address = ("127.0.0.1", port)
+        registry = BoxRegistry(reactor, store, name, address, random.Random(1), capacity)
         self.running.append(start(registry.run()))
         return registry
 
@@ -39,16 +39,16 @@
 class BoxRegistryTest(RegistryCase):
     """In a small fleet every box registers."""
 
-    async def test_a_later_box_lists_the_earlier_one_and_greets_it(self):
+    async def test_a_later_box_lists_the_earlier_one_and_reports_it(self):
         first = self.box("a.1", 1)
         while not self.service._entries:
             await sleep(reactor, 0.01)
-        greeted = []
+        listed_peers = []
         second = self.box("b.1", 2)
-        second.on_listed = lambda: greeted.append(dict(second.peers))
-        while not greeted:
+        second.on_listed = lambda: listed_peers.append(dict(second.peers))
+        while not listed_peers:
             await sleep(reactor, 0.01)
-        assert greeted == [{"a.1": ("127.0.0.1", 1)}]
+        assert listed_peers == [{"a.1": ("127.0.0.1", 1)}]
         first.note_datagram("b.1", ("127.0.0.1", 2))
         assert first.peers == {"b.1": ("127.0.0.1", 2)}
 
@@ -67,8 +67,8 @@
         registry.note_datagram("b.1", ("127.0.0.1", 2))
         assert registry.count == 2
         self.patch(membership, "PEER_CHECK_INTERVAL_S", 0.0)
-        place = ("127.0.0.1", 2)
-        registry._last_datagrams[place] = registry._last_datagrams[place]._replace(
+        address = ("127.0.0.1", 2)
+        registry._last_datagrams[address] = registry._last_datagrams[address]._replace(
             at_s=reactor.seconds() - PEER_TIMEOUT_S
         )
         assert registry.count == 1
--- a/gladedrum/beliefs/tests/test_peer_list_order.py
+++ b/gladedrum/beliefs/tests/test_peer_list_order.py
@@ -22,7 +22,7 @@
 
 
 def test_an_older_list_removes_no_target_of_a_newer_one_that_confirmed_nothing():
-    """A list with a gone target does not confirm, so an older list was applied after it."""
+    """A list with a gone target confirms nothing; an older list must still not replace it."""
     clock, _feed, targets, gone = follower(A, B)
     clock.advance(0.5)
     targets.apply_peer_list({"a": A}, 0.4)
@@ -38,7 +38,7 @@
 
 
 def test_a_list_from_before_an_outage_does_not_count_as_its_end():
-    """Taking it for the end ended the grace period before the store was back."""
+    """Otherwise the grace period ends before the store is available again."""
     clock, feed, targets, _gone = follower(A, B)
     clock.advance(1.6)
     feed.pending.errback(KVUnavailableError("down"))
@@ -56,7 +56,7 @@
 
 
 def test_a_gone_target_is_removed_while_only_this_box_cannot_read_the_store():
-    """Failed reads alternate with peers' lists; each list seemed to end another outage."""
+    """Failed reads alternate with peers' lists; a list must not count as the end of an outage."""
     clock, feed, targets, _gone = follower(A, B)
     gone_s = 10.0
     while clock.seconds() < gone_s + 2 * REAPPEAR_GRACE_S:
--- a/gladedrum/beliefs/tests/test_peer_sync.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -26,7 +26,7 @@
     """Collects questions and answers for the test to deliver."""
 
     def __init__(self):
-        self.asks, self.notes, self.parts, self.handed = [], [], [], []
+        self.asks, self.notes, self.list_parts, self.configuration_parts = [], [], [], []
 
     def ask_vouch(self, _address, note):
         self.asks.append(note)
@@ -35,18 +35,20 @@
         self.notes.append(note)
 
     def send_configuration_part(self, _address, part):
-        self.handed.append(part)
+        self.configuration_parts.append(part)
 
     def send_list_part(self, _address, part):
-        self.parts.append(part)
+        self.list_parts.append(part)
 
 
-class Membership:
-    def __init__(self, inside):
-        self.inside = inside
+class GroupStub:
+    """Stands in for a `CoordinatorGroup` whose only other member is "m"."""
+
+    def __init__(self, is_member):
+        self.is_member = is_member
 
     def includes_me(self):
-        return self.inside
+        return self.is_member
 
     def members(self):
         return ["m"]
@@ -55,14 +57,15 @@
     readers = members
 
     def follows_readers(self):
-        return not self.inside
+        return not self.is_member
 
     def address(self, _name):
         return ("10.0.0.1", 1)
 
 
-def box(clock, inside, version, read_s=0.0, targets=("t1",)):
-    pace = StorePace(clock, random.Random(1), lambda: not inside, lambda: not inside)
+def box(clock, is_member, version, read_s=0.0, targets=("t1",)):
+    """Return a box whose copies were confirmed at `read_s`, and its wire."""
+    pace = StorePace(clock, random.Random(1), lambda: not is_member, lambda: not is_member)
     configuration = ConfigurationFollower(clock, NoFeed(), 2.0, pace)
     configuration._apply(RouteTable(version))
     configuration._confirm(read_s)
@@ -71,11 +74,13 @@
     listed._read_s = read_s
     wire = Wire()
     table = TableInForce(clock)
-    follower = TableFollower(clock, None, table, lambda: not inside)
-    registry = BoxRegistry(clock, None, "m" if inside else "a", ("10.0.0.9", 9), random.Random(1))
+    follower = TableFollower(clock, None, table, lambda: not is_member)
+    registry = BoxRegistry(
+        clock, None, "m" if is_member else "a", ("10.0.0.9", 9), random.Random(1)
+    )
     peer_sync = PeerSync(
         clock,
-        Membership(inside),
+        GroupStub(is_member),
         registry,
         wire,
         configuration,
@@ -89,12 +94,16 @@
 
 
 def exchange(clock, asker, asker_wire, member, member_wire, delay_s=0.0, stall_s=0.0):
+    """Deliver a question and its answer.
+
+    Each takes `delay_s`; the answer is received another `stall_s` later.
+    """
     asker._ask()
     clock.advance(delay_s)
     member.receive(Gossip("a", vouch_asks=asker_wire.asks), ("10.0.0.2", 2))
     clock.advance(delay_s + stall_s)
     asker.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
-    for part in reversed(member_wire.parts):
+    for part in reversed(member_wire.list_parts):
         asker.receive(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
 
 
@@ -135,7 +144,7 @@
     member, member_wire = box(clock, True, 3, read_s=9.5, targets=names)
     asker, wire = box(clock, False, 3, read_s=5.0, targets=("t00", "old"))
     exchange(clock, asker, wire, member, member_wire, delay_s=0.1)
-    assert len(member_wire.parts) > 1
+    assert len(member_wire.list_parts) > 1
     assert sorted(asker._targets.entries) == names
     assert 0.7 <= asker._targets.age_s <= 0.9 + 1e-9
     assert asker._targets.digest == member._targets.digest
@@ -148,7 +157,7 @@
     asker, wire = box(clock, False, 3, read_s=5.0, targets=("old",))
     asker._ask()
     member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
-    for part in member_wire.parts[1:]:
+    for part in member_wire.list_parts[1:]:
         asker.receive(Gossip("m", list_parts=[part, part]), ("10.0.0.1", 1))
     assert sorted(asker._targets.entries) == ["old"]
     assert asker._targets.age_s == 5.0
@@ -161,7 +170,7 @@
     member, member_wire = box(clock, True, 3, read_s=10.0, targets=names)
     asker, wire = box(clock, False, 3, read_s=10.0, targets=names)
     exchange(clock, asker, wire, member, member_wire)
-    assert not member_wire.parts
+    assert not member_wire.list_parts
     clock.advance(1.0)
     kept = {n: e for n, e in member._targets.entries.items() if n not in ("t03", "t04")}
     new = TargetEntry("t99", "s", "10.0.0.1", 1, "h", 1, False)
@@ -170,7 +179,7 @@
     member._targets._read_s = clock.seconds()
     wire.asks.clear(), member_wire.notes.clear()
     exchange(clock, asker, wire, member, member_wire)
-    assert [len(part.rows) for part in member_wire.parts] == [2]
+    assert [len(part.rows) for part in member_wire.list_parts] == [2]
     assert asker._targets.entries == member._targets.entries
     assert asker._targets.digest == member._targets.digest
 
@@ -188,7 +197,7 @@
     member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
     other = {n: TargetEntry(n, "s", "10.0.0.1", 1, "h", 1, False) for n in ("t2", "t3")}
     asker._targets.entries = other
-    for part in member_wire.parts:
+    for part in member_wire.list_parts:
         asker.receive(Gossip("m", list_parts=[part]), ("10.0.0.1", 1))
     assert asker._targets.entries == other
 
@@ -203,7 +212,7 @@
     exchange(clock, asker, wire, member, member_wire)
     assert asker._configuration.age_s == 0.0
     assert asker._targets.age_s == 5.0
-    assert not member_wire.parts
+    assert not member_wire.list_parts
 
 
 def test_an_unsolicited_answer_confirms_nothing():
@@ -238,14 +247,14 @@
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, 3, read_s=9.5)
-    cut, wire = box(clock, True, 3, read_s=9.5)
-    start(cut.run())
+    cut_off, wire = box(clock, True, 3, read_s=9.5)
+    start(cut_off.run())
     assert not wire.asks
     clock.pump([0.5] * 5)
     assert wire.asks
     member._configuration._confirm(clock.seconds())
-    exchange(clock, cut, wire, member, member_wire)
-    assert cut._configuration.is_current
+    exchange(clock, cut_off, wire, member, member_wire)
+    assert cut_off._configuration.is_current
 
 
 def test_an_unregistered_box_receives_the_list_of_boxes_in_one_datagram():
@@ -295,7 +304,7 @@
         return RouteTable(int(raw))
 
 
-def hand_on(member_version, asker_version, raw, lost=()):
+def send_configuration(member_version, asker_version, raw, lost=()):
     """Return the asking box and the wire after a member with its own version has answered."""
     clock = Clock()
     clock.advance(10.0)
@@ -305,7 +314,7 @@
     member._configuration.raw = raw
     asker._ask()
     member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
-    for part in member_wire.handed:
+    for part in member_wire.configuration_parts:
         if part.part not in lost:
             asker.receive(Gossip("m", configuration_parts=[part]), ("10.0.0.1", 1))
     asker.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
@@ -314,34 +323,34 @@
 
 def test_a_newer_configuration_is_sent_with_its_age():
     """Thundering herd: otherwise each change makes every box read the store."""
-    asker, wire = hand_on(4, 3, b"4".rjust(5_000))
-    assert len(wire.handed) == 5
+    asker, wire = send_configuration(4, 3, b"4".rjust(5_000))
+    assert len(wire.configuration_parts) == 5
     assert asker._configuration.table.version == 4
     assert asker._configuration.age_s == 0.5
     assert not asker._configuration._newer_version_known
-    asker, wire = hand_on(3, 3, b"3")
-    assert not wire.handed
+    asker, wire = send_configuration(3, 3, b"3")
+    assert not wire.configuration_parts
 
 
 def test_a_box_reads_a_large_or_incomplete_configuration_itself():
     for raw, lost in ((b"4".rjust(5_000), (2,)), (b"4".rjust(200_000), ())):
-        asker, _wire = hand_on(4, 3, raw, lost)
+        asker, _wire = send_configuration(4, 3, raw, lost)
         assert asker._configuration.table.version == 3
         assert asker._configuration._newer_version_known
 
 
 def test_parts_of_an_older_version_are_ignored():
-    handed = ReceivedConfiguration()
+    received = ReceivedConfiguration()
     old, new = configuration_parts(4, b"x" * 3_000), configuration_parts(5, b"y" * 2_500)
-    handed.add(old[:2])
-    handed.add(new[:1])
-    handed.add(old[2:])
-    assert handed.assemble(4) is None
-    assert handed.assemble(5) is None
-    handed.add(new[1:])
-    assert handed.assemble(5) == b"y" * 2_500
-    handed.add([ConfigurationPart(6, 5, 3, b""), ConfigurationPart(6, 0, 10**6, b"")])
-    assert handed.assemble(5) == b"y" * 2_500
+    received.add(old[:2])
+    received.add(new[:1])
+    received.add(old[2:])
+    assert received.assemble(4) is None
+    assert received.assemble(5) is None
+    received.add(new[1:])
+    assert received.assemble(5) == b"y" * 2_500
+    received.add([ConfigurationPart(6, 5, 3, b""), ConfigurationPart(6, 0, 10**6, b"")])
+    assert received.assemble(5) == b"y" * 2_500
 
 
 def test_a_starting_box_learns_the_members_from_any_box_and_the_rest_from_a_member():
@@ -363,10 +372,10 @@
     assert set(fresh._registry.entries) == {"m.1"}
     assert len(wire.asks) == asked + 1
     member.receive(Gossip("a", vouch_asks=wire.asks[-1:]), ("10.0.0.2", 2))
-    for received in member_wire.handed:
+    for received in member_wire.configuration_parts:
         fresh.receive(Gossip("m", configuration_parts=[received]), ("10.0.0.1", 1))
     fresh.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
-    fresh.receive(Gossip("m", list_parts=member_wire.parts), ("10.0.0.1", 1))
+    fresh.receive(Gossip("m", list_parts=member_wire.list_parts), ("10.0.0.1", 1))
     assert fresh._configuration.table.version == 4
     assert set(fresh._targets.entries) == {"t1"}
     assert fresh._targets.age_s == fresh._configuration.age_s == 0.5
--- a/gladedrum/beliefs/tests/test_restarted_targets.py
+++ b/gladedrum/beliefs/tests/test_restarted_targets.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.task import Clock
 
-from gladedrum.beliefs.list_parts import changed_list, list_parts, whole_list
+from gladedrum.beliefs.list_parts import apply_difference, entries_in, list_parts
 from gladedrum.beliefs.store_pace import StorePace
 from gladedrum.beliefs.target_list import TargetListFollower
 from gladedrum.fleet import TargetEntry
@@ -19,16 +19,16 @@
     return TargetEntry(name, "s", "10.0.0.1", 9000, "hall", 6, leaving, born)
 
 
-class Listed:
-    """A target list follower on a virtual clock."""
+class FollowedTargets:
+    """A target list follower on a virtual clock; `reported` holds new and restarted targets."""
 
     def __init__(self, *entries):
         self.clock = Clock()
         self.clock.advance(100.0)
-        self.listed = []
+        self.reported = []
         pace = StorePace(self.clock, random.Random(1))
         self.follower = TargetListFollower(
-            self.clock, None, 2.0, lambda _entry: None, pace, self.listed.append
+            self.clock, None, 2.0, lambda _entry: None, pace, self.reported.append
         )
         self.read(*entries)
 
@@ -40,47 +40,47 @@
         self.clock.advance(0.5)
         self.follower.apply_peer_list({e.name: e for e in entries}, self.clock.seconds())
 
-    def now(self, name="t1"):
+    def current(self, name="t1"):
         return self.follower.entries.get(name)
 
 
 def test_a_later_start_of_a_leaving_target_accepts_requests():
-    listed = Listed(entry(OLD, leaving=True))
+    listed = FollowedTargets(entry(OLD, leaving=True))
     listed.read(entry(NEW))
     assert listed.follower.accepts_requests("t1")
 
 
 def test_a_late_list_with_an_earlier_start_changes_nothing():
-    listed = Listed(entry(NEW))
+    listed = FollowedTargets(entry(NEW))
     listed.receive(entry(OLD, leaving=True))
-    assert listed.now() == entry(NEW)
+    assert listed.current() == entry(NEW)
 
 
 def test_the_same_start_stays_leaving():
-    listed = Listed(entry(OLD, leaving=True))
+    listed = FollowedTargets(entry(OLD, leaving=True))
     listed.read(entry(OLD))
     assert not listed.follower.accepts_requests("t1")
 
 
 def test_a_peers_list_brings_back_a_later_start_of_a_gone_target_but_not_the_same_one():
-    listed = Listed(entry(OLD), entry(OLD, name="t2"))
+    listed = FollowedTargets(entry(OLD), entry(OLD, name="t2"))
     listed.read(entry(OLD, name="t2"))
-    assert listed.now() is None
+    assert listed.current() is None
     listed.receive(entry(OLD), entry(OLD, name="t2"))
-    assert listed.now() is None
+    assert listed.current() is None
     listed.receive(entry(NEW), entry(OLD, name="t2"))
-    assert listed.now() == entry(NEW)
+    assert listed.current() == entry(NEW)
     assert listed.follower.age_s == 0
 
 
 def test_new_and_restarted_targets_are_reported():
-    listed = Listed(entry(OLD), entry(OLD, name="t2"))
-    listed.listed.clear()
+    listed = FollowedTargets(entry(OLD), entry(OLD, name="t2"))
+    listed.reported.clear()
     listed.read(entry(NEW), entry(OLD, name="t2"))
-    assert listed.listed == [entry(NEW)]
+    assert listed.reported == [entry(NEW)]
 
 
 def test_lists_from_peers_include_the_start():
     before, now = {"t1": entry(OLD)}, {"t1": entry(NEW)}
-    assert whole_list(list_parts(1, None, now, 0.1)) == now
-    assert changed_list(before, list_parts(1, before, now, 0.1)) == now
+    assert entries_in(list_parts(1, None, now, 0.1)) == now
+    assert apply_difference(before, list_parts(1, before, now, 0.1)) == now
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -33,8 +33,8 @@
         return part
 
     def box(self, name, port):
-        place, store = ("127.0.0.1", port), self.store()
-        registry = BoxRegistry(reactor, store, name, place, random.Random(port))
+        address, store = ("127.0.0.1", port), self.store()
+        registry = BoxRegistry(reactor, store, name, address, random.Random(port))
         return self.run_part(registry, store)
 
     def configuration(self):
@@ -66,9 +66,9 @@
         }  # fmt: skip
         self.service.write(f"servers/{name}", json.dumps(row).encode())
 
-    async def until(self, holds, within_s=WAIT_S):
+    async def until(self, condition, within_s=WAIT_S):
         for _ in range(round(within_s / 0.02)):
-            if holds():
+            if condition():
                 return True
             await sleep(reactor, 0.02)
         return False
@@ -105,7 +105,7 @@
         for _ in range(40):
             await sleep(reactor, 0.05)
             assert configuration.table.version == 2
-            # A restored copy says nothing about changes made since it was taken.
+            # A restored copy does not contain changes made since it was taken.
         assert configuration._confirmed_s <= confirmed_s + 1.3
         assert await self.until(lambda: configuration.age_s < 0.5, 4.0)
 
