--- a/gladedrum/table/follow.py
+++ b/gladedrum/table/follow.py
@@ -127,7 +127,8 @@
         try:
             await pending
         except defer.CancelledError:
-            # `note_store_restored` clears the attribute before it cancels; other cancellations end the task.
+            # `note_store_restored` clears the attribute before it cancels; other cancellations end
+            # the task.
             if self._pending_watch is pending:
                 raise
         finally:
