--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -24,9 +24,9 @@
 from gladedrum.platform import Box, Directory, StoredItem, Target
 from gladedrum.platform.directory import _parse_rows
 from gladedrum.scheduling import (
-    EngineTraits,
     Grant,
     Job,
+    QueueEngineTraits,
     Quote,
     TargetQueue,
     TargetView,
@@ -58,7 +58,7 @@
     chosen = policy("fair_slack")
     rows = []
     for waiting in (0, 16, 64, 128, 256):
-        queue = TargetQueue(EngineTraits(400_000))
+        queue = TargetQueue(QueueEngineTraits(400_000))
         queue.withhold(400_000)
         for number in range(waiting):
             queue.offer(_job(number), chosen, 0.0)
--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -248,15 +248,15 @@
 VARIANTS: dict[str, Callable[[], AbstractContextManager]] = {
     "as it stands": nullcontext,
     "worth by kind": lambda: patch.object(choosing, "worth_of", _worth_by_kind),
-    "no exposure": lambda: patch.object(expected_loss, "_exposure", _no_exposure),
-    "arrivals remembered for 12 s": lambda: patch.object(arrivals, "MEMORY_S", 12.0),
+    "no exposure": lambda: patch.object(expected_loss, "_interference_loss_function", _no_exposure),
+    "arrivals remembered for 12 s": lambda: patch.object(arrivals, "DECAY_S", 12.0),
     "idle engines cost nothing": lambda: patch.object(expected_loss, "IDLE_COST", 0.0),
     "idle engines cost 0.12": lambda: patch.object(expected_loss, "IDLE_COST", 0.12),
-    "limits from 0.8 on": lambda: patch.object(expected_loss, "MARGIN", 0.8),
-    "limits from 0.95 on": lambda: patch.object(expected_loss, "MARGIN", 0.95),
-    "limits softer, 0.15": lambda: patch.object(expected_loss, "SOFTNESS", 0.15),
-    "limits harder, 0.06": lambda: patch.object(expected_loss, "SOFTNESS", 0.06),
-    "all engines quoted": lambda: patch.object(expected_loss, "DEFAULT_QUOTED_ENGINES", 10_000),
+    "limits from 0.8 on": lambda: patch.object(expected_loss, "MISS_MIDPOINT_SHARE", 0.8),
+    "limits from 0.95 on": lambda: patch.object(expected_loss, "MISS_MIDPOINT_SHARE", 0.95),
+    "limits softer, 0.15": lambda: patch.object(expected_loss, "MISS_SCALE_SHARE", 0.15),
+    "limits harder, 0.06": lambda: patch.object(expected_loss, "MISS_SCALE_SHARE", 0.06),
+    "all engines quoted": lambda: patch.object(expected_loss, "DEFAULT_SIMULATED_ENGINES", 10_000),
     "12 parts at the most": lambda: patch.object(
         expected_loss, "PART_COUNTS", expected_loss.PART_COUNTS[:9]
     ),
--- a/gladedrum/ctl/traces.py
+++ b/gladedrum/ctl/traces.py
@@ -16,7 +16,7 @@
     write_trace,
 )
 from ..replay.compare import HEADING, SUMMARY_HEADING, summary_rows
-from ..scheduling import EngineTraits, policy, policy_names
+from ..scheduling import QueueEngineTraits, policy, policy_names
 from ..standins.engine_core import EngineSpec
 from .command import Command, ExitCode, print_json, print_table
 
@@ -51,7 +51,7 @@
         duration_s=args.seconds,
         engines=args.engines,
         load=args.load,
-        traits=EngineTraits(EngineSpec().memory_tokens),
+        traits=QueueEngineTraits(EngineSpec().memory_tokens),
         organisations=args.organisations,
         longest_tokens=args.longest,
     )
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -16,7 +16,7 @@
 from ..fleet import TargetEntry
 from ..routes import Service
 from ..scheduling.engine_model import EngineTraits
-from ..scheduling.expected_loss import Candidate, Job, worth_of
+from ..scheduling.expected_loss import Candidate, PlacementJob, worth_of
 from ..scheduling.placement_policies import place_by
 from ..scheduling.suspects import Standing
 from .fleet_view import FleetView
@@ -329,7 +329,7 @@
             return Choice(min(entries, key=lambda entry: self._plain_cost_s(entry, demand, now_s)))
         by_name = {entry.name: entry for entry in entries}
         candidates = [self._candidate(entry, demand, traits, now_s) for entry in entries]
-        job = Job(
+        job = PlacementJob(
             demand.prompt_tokens,
             demand.answer_tokens,
             worth_of(demand.prompt_tokens),
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -241,7 +241,7 @@
             row = LedgerRow(
                 work_id=plan.work_id,
                 prompt_tokens=plan.prompt_tokens / parts,
-                pair_share=float(parts),
+                pair_factor=float(parts),
                 answer_tokens=plan.answer_tokens if main else 0,
                 held_tokens=plan.held_tokens(main),
                 writes=main,
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -18,7 +18,7 @@
 from ..gossip.wire.ttypes import ReportNote
 from ..platform.codecs import MalformedError, decode_report
 from ..platform.orders import report_call
-from ..scheduling.rates import report_pause_s
+from ..scheduling.rates import report_interval_s
 from ..utils import sleep, start
 from .fleet_view import FleetView, TargetState
 
@@ -136,7 +136,7 @@
         rate = self._view.state(target).rate
         if rate is None:
             return 0.0
-        pause_s = report_pause_s(rate, INTERVAL_S)
+        pause_s = report_interval_s(rate, INTERVAL_S)
         if self._misses[target]:
             return pause_s
         # All answers of the target carry its rate, so any of them postpones the poll.
--- a/gladedrum/replay/local.py
+++ b/gladedrum/replay/local.py
@@ -16,10 +16,10 @@
     MAX_DIGESTS,
     PREFIX_GROWTH,
     PREFIX_STEP_TOKENS,
-    EngineTraits,
     Grant,
     Job,
     Policy,
+    QueueEngineTraits,
     QueueLimits,
     Refused,
     TargetQueue,
@@ -306,7 +306,7 @@
 
 def _make_engines(fleet: LocalFleet) -> list[_Engine]:
     spec = fleet.spec
-    traits = EngineTraits(
+    traits = QueueEngineTraits(
         spec.memory_tokens,
         spec.prefill_tokens_per_s,
         spec.attention_tokens,
--- a/gladedrum/replay/trace.py
+++ b/gladedrum/replay/trace.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from ..errors import Finding, GladedrumError
-from ..scheduling import EngineTraits
+from ..scheduling import QueueEngineTraits
 
 __all__ = [
     "LengthBand",
@@ -93,7 +93,7 @@
         The number of engines that the load is for.
     load : float
         Engine time asked for, as a share of the engine time there is.
-    traits : EngineTraits
+    traits : QueueEngineTraits
         The engines' size and speed.
     organisations : int
         Their number; the size of the n-th goes with 1/n.
@@ -109,7 +109,7 @@
     duration_s: float = 600.0
     engines: int = 18
     load: float = 0.85
-    traits: EngineTraits = EngineTraits(400_000)
+    traits: QueueEngineTraits = QueueEngineTraits(400_000)
     organisations: int = 10
     burst_factor: float = 2.0
     burst_share: float = 0.15
--- a/gladedrum/scheduling/arrivals.py
+++ b/gladedrum/scheduling/arrivals.py
@@ -16,7 +16,7 @@
 MIN_PART_TOKENS = 8_000
 """Shorter parts are not counted: engines read them within any objective for pauses."""
 
-MEMORY_S = 6.0
+DECAY_S = 6.0
 """Time constant of the exponential decay, in seconds: long enough to average over several long
 prompts, short enough to follow a changing mix."""
 
@@ -68,7 +68,7 @@
         if known is not None and now_s - known.at_s < RATE_CACHE_S:
             return known.per_s
         per_s = sum(
-            arrival.parts * math.exp((arrival.at_s - now_s) / MEMORY_S) / MEMORY_S
+            arrival.parts * math.exp((arrival.at_s - now_s) / DECAY_S) / DECAY_S
             for arrival in self._arrivals
             if _part_read_time_s(traits, arrival) > longer_than_s
         )
--- a/gladedrum/scheduling/engine_model.py
+++ b/gladedrum/scheduling/engine_model.py
@@ -96,13 +96,13 @@
     read_left: float
     answer_left: float
     depth: float = 0.0
-    pair_share: float = 1.0
+    pair_factor: float = 1.0
     writes: bool = True
 
     @property
     def is_joint(self) -> bool:
         """Whether it is a part of a prompt that several engines read."""
-        return self.pair_share > 1 or not self.writes
+        return self.pair_factor > 1 or not self.writes
 
 
 class Prediction(NamedTuple):
@@ -160,9 +160,9 @@
         self._traits = traits
         self._pace = pace
         self._now_s = 0.0
-        self._joint = [work.pair_share > 1 or not work.writes for work in works]
+        self._joint = [work.pair_factor > 1 or not work.writes for work in works]
         self._writes = [work.writes for work in works]
-        self._pair_factor = [work.pair_share for work in works]
+        self._pair_factor = [work.pair_factor for work in works]
         self._read_left = [work.read_left for work in works]
         self._depth = [work.depth for work in works]
         self._answer_left = [work.answer_left for work in works]
--- a/gladedrum/scheduling/expected_loss.py
+++ b/gladedrum/scheduling/expected_loss.py
@@ -18,7 +18,7 @@
 from .engine_model import EngineTraits, Prediction, Work, predict, read_time_s
 from .ledger import EngineLedger, LedgerRow, Stake
 
-__all__ = ["Candidate", "Job", "Placement", "place", "worth_of"]
+__all__ = ["Candidate", "Placement", "PlacementJob", "place", "worth_of"]
 
 TOKENS_PER_WORTH_UNIT = 10_000
 """Prompt tokens that add as much worth as one small request has."""
@@ -40,7 +40,7 @@
 MIN_SPLIT_PROMPT_TOKENS = 30_000
 """Shorter prompts are read by one engine: splitting them delays others more than it gains."""
 
-DEFAULT_QUOTED_ENGINES = 18
+DEFAULT_SIMULATED_ENGINES = 18
 """Engines that are simulated for most requests. This bounds the time of a decision, since a few
 coordinators decide for a large fleet."""
 
@@ -65,11 +65,11 @@
 MAX_EXTRA_CONNECTED = 4
 """Engines added to the shortlist because the box that sends the request is connected to them."""
 
-MARGIN = 0.9
+MISS_MIDPOINT_SHARE = 0.9
 """A predicted time of this share of its limit misses the limit with probability one half. The share
 is below 1 because reports and the model are inexact."""
 
-SOFTNESS = 0.09
+MISS_SCALE_SHARE = 0.09
 """Scale of the logistic curve by which the probability of missing a limit rises with the predicted
 time, as a share of the limit."""
 
@@ -81,7 +81,7 @@
 """Longer delays cost no more, which keeps the cost finite."""
 
 
-class Job(NamedTuple):
+class PlacementJob(NamedTuple):
     """A request to be placed.
 
     Parameters
@@ -227,7 +227,7 @@
 def place(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
@@ -237,7 +237,7 @@
     ones is estimated. Of engines with equal cost, the first in `candidates` is taken.
     """
     shortlist = _shortlist(candidates, _engines_to_simulate(traits, job))
-    interference_loss = _exposure(
+    interference_loss = _interference_loss_function(
         traits, candidates, job, now_s, long_prompt_arrivals or LongPromptArrivals()
     )
     engines = [
@@ -252,21 +252,21 @@
     )
 
 
-def _engines_to_simulate(traits: EngineTraits, job: Job) -> int:
+def _engines_to_simulate(traits: EngineTraits, job: PlacementJob) -> int:
     """Return how many engines to simulate: more for prompts that need many parts."""
     parts = _min_parts(traits, job)
     if job.prompt_tokens >= MIN_SPLIT_PROMPT_TOKENS:
         parts = max(parts, min(_parts_to_be_on_time(traits, job), PART_COUNTS[-1]))
-    return max(DEFAULT_QUOTED_ENGINES, math.ceil(SIMULATED_ENGINES_PER_PART * parts))
+    return max(DEFAULT_SIMULATED_ENGINES, math.ceil(SIMULATED_ENGINES_PER_PART * parts))
 
 
-def _parts_to_be_on_time(traits: EngineTraits, job: Job) -> float:
+def _parts_to_be_on_time(traits: EngineTraits, job: PlacementJob) -> float:
     """Return the number of parts, not rounded, that idle engines read well before the due time."""
     wanted_s = SEARCH_START_SHARE * job.first_due_in_s
     return read_time_s(traits, job.prompt_tokens) / wanted_s if wanted_s > 0 else math.inf
 
 
-def _search_start(traits: EngineTraits, job: Job, counts: Sequence[int]) -> int:
+def _search_start(traits: EngineTraits, job: PlacementJob, counts: Sequence[int]) -> int:
     """Return the index of the smallest number of parts that exceeds `_parts_to_be_on_time`."""
     wanted = _parts_to_be_on_time(traits, job)
     enough = (i for i, parts in enumerate(counts) if parts > wanted)
@@ -331,11 +331,11 @@
     return weighted_tokens, len(candidate.ledger.rows)
 
 
-def _min_parts(traits: EngineTraits, job: Job) -> int:
+def _min_parts(traits: EngineTraits, job: PlacementJob) -> int:
     return max(1, math.ceil((job.prompt_tokens + job.answer_tokens) / traits.memory_tokens))
 
 
-def _part_counts(traits: EngineTraits, job: Job, available: int) -> list[int]:
+def _part_counts(traits: EngineTraits, job: PlacementJob, available: int) -> list[int]:
     least = _min_parts(traits, job)
     if job.prompt_tokens < MIN_SPLIT_PROMPT_TOKENS:
         return [least] if least <= available else []
@@ -343,10 +343,10 @@
     return sorted(count for count in counts if count <= min(available, 1 + MAX_HELPERS))
 
 
-def _exposure(
+def _interference_loss_function(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     long_prompt_arrivals: LongPromptArrivals,
 ) -> Callable[[Candidate], float]:
@@ -384,13 +384,13 @@
 def _best_with_parts(
     traits: EngineTraits,
     engines: Sequence[_EngineState],
-    job: Job,
+    job: PlacementJob,
     parts: int,
     now_s: float,
 ) -> Placement | None:
     part_tokens = math.ceil(job.prompt_tokens / parts)
     total_tokens = job.prompt_tokens + job.answer_tokens
-    work = Work(part_tokens, job.answer_tokens, pair_share=float(parts))
+    work = Work(part_tokens, job.answer_tokens, pair_factor=float(parts))
     outcomes = sorted(
         (
             _simulate(traits, engine, work, now_s)
@@ -409,7 +409,11 @@
 
 
 def _select_engines(
-    traits: EngineTraits, outcomes: Sequence[_EngineOutcome], job: Job, parts: int, reserved: bool
+    traits: EngineTraits,
+    outcomes: Sequence[_EngineOutcome],
+    job: PlacementJob,
+    parts: int,
+    reserved: bool,
 ) -> Placement | None:
     """Choose the cheapest simulated engines with enough memory; None if there are too few.
 
@@ -454,7 +458,9 @@
     return [outcome for outcome in outcomes if outcome.candidate.tokens + tokens <= limit]
 
 
-def _total_loss(job: Job, chosen: Sequence[_EngineOutcome], prediction: Prediction) -> float:
+def _total_loss(
+    job: PlacementJob, chosen: Sequence[_EngineOutcome], prediction: Prediction
+) -> float:
     """Return the expected loss of all requests on the chosen engines and of the new one."""
     any_failure_chance = 1 - math.prod(1 - outcome.candidate.failure_chance for outcome in chosen)
     return (
@@ -511,7 +517,7 @@
     return (late * LATE_LOSS + abandoned * (1 - LATE_LOSS)) * stake.worth
 
 
-def _job_loss(job: Job, prediction: Prediction) -> float:
+def _job_loss(job: PlacementJob, prediction: Prediction) -> float:
     late = max(
         _chance_exceeded(prediction.first_event_s, job.first_due_in_s),
         _chance_exceeded(prediction.pause_s, job.pause_limit_s),
@@ -527,5 +533,5 @@
         return 0.0
     if time_s == float("inf") or limit_s <= 0:
         return 1.0
-    scaled = (time_s - MARGIN * limit_s) / (SOFTNESS * limit_s)
+    scaled = (time_s - MISS_MIDPOINT_SHARE * limit_s) / (MISS_SCALE_SHARE * limit_s)
     return 1 / (1 + math.exp(-max(-40.0, min(40.0, scaled))))
--- a/gladedrum/scheduling/jobs.py
+++ b/gladedrum/scheduling/jobs.py
@@ -7,8 +7,8 @@
     "MAX_DIGESTS",
     "PREFIX_GROWTH",
     "PREFIX_STEP_TOKENS",
-    "EngineTraits",
     "Job",
+    "QueueEngineTraits",
 ]
 
 LONG_PROMPT_TOKENS = 32_000
@@ -81,7 +81,7 @@
         return self.whole_tokens or self.prompt_tokens
 
 
-class EngineTraits(NamedTuple):
+class QueueEngineTraits(NamedTuple):
     """Size and speed of an engine, for the estimates of its queue.
 
     Placement uses the traits in `engine_model` instead.
--- a/gladedrum/scheduling/ledger.py
+++ b/gladedrum/scheduling/ledger.py
@@ -60,7 +60,7 @@
     prompt_tokens : float
         Tokens that this engine reads.
     pair_share : float
-        See `Work.pair_share`.
+        See `Work.pair_factor`.
     answer_tokens : float
         Expected length of the answer; 0 on helpers.
     held_tokens : float
@@ -80,7 +80,7 @@
 
     work_id: str
     prompt_tokens: float
-    pair_share: float
+    pair_factor: float
     answer_tokens: float
     held_tokens: float
     writes: bool
@@ -96,7 +96,7 @@
     @property
     def is_joint(self) -> bool:
         """Whether it is a part of a prompt that several engines read."""
-        return self.pair_share > 1 or not self.writes
+        return self.pair_factor > 1 or not self.writes
 
     @property
     def caller_wait_s(self) -> float:
@@ -120,7 +120,7 @@
             read_left=self.read_left,
             answer_left=max(1.0, answer_left) if self.writes else 0.0,
             depth=self.prompt_tokens - self.read_left,
-            pair_share=self.pair_share,
+            pair_factor=self.pair_factor,
             writes=self.writes,
         )
 
@@ -190,7 +190,7 @@
             left_s = min(left_s, now_s - row.placed_s)
             depth = row.prompt_tokens - row.read_left
             reading_s = max(
-                1e-9, read_time_s(traits, row.read_left, depth) * max(1, row.pair_share)
+                1e-9, read_time_s(traits, row.read_left, depth) * max(1, row.pair_factor)
             )
             share = min(1.0, left_s / reading_s)
             row.read_left *= 1 - share
@@ -200,8 +200,8 @@
 
     @property
     def unread(self) -> float:
-        """Prompt tokens still to be read, weighted by `pair_share`."""
-        return sum([row.read_left * row.pair_share for row in self._unread.values()])
+        """Prompt tokens still to be read, weighted by `pair_factor`."""
+        return sum([row.read_left * row.pair_factor for row in self._unread.values()])
 
     def reads_until_s(self, traits: EngineTraits) -> float | None:
         """Return when all prompts being read here will have been read; None if there are none.
@@ -214,7 +214,7 @@
             return None
         work_s = [
             row.prompt_tokens / traits.read_tokens_per_s
-            + row.pair_share * row.prompt_tokens**2 / 2 * traits.per_pair_s
+            + row.pair_factor * row.prompt_tokens**2 / 2 * traits.per_pair_s
             for row in unread
         ]
         return min(row.placed_s for row in unread) + sum(work_s)
--- a/gladedrum/scheduling/placement_policies.py
+++ b/gladedrum/scheduling/placement_policies.py
@@ -15,12 +15,13 @@
 from . import expected_loss
 from .arrivals import LongPromptArrivals
 from .engine_model import EngineTraits
-from .expected_loss import Candidate, Job, Placement
+from .expected_loss import Candidate, Placement, PlacementJob
 
 __all__ = ["PlacementPolicy", "place_by", "placement_names"]
 
 PlacementPolicy = Callable[
-    [EngineTraits, Sequence[Candidate], Job, float, LongPromptArrivals | None], Placement | None
+    [EngineTraits, Sequence[Candidate], PlacementJob, float, LongPromptArrivals | None],
+    Placement | None,
 ]
 """Chooses the engines for a request at a given time, given the recent long prompts; None if no set
 of candidates has the memory."""
@@ -53,7 +54,7 @@
     name: str,
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
@@ -67,7 +68,7 @@
 def place_fewest_requests(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
@@ -79,7 +80,7 @@
 def place_least_loaded(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
@@ -91,7 +92,7 @@
 def place_in_pools(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
@@ -105,7 +106,7 @@
 def _least_by(
     traits: EngineTraits,
     candidates: Sequence[Candidate],
-    job: Job,
+    job: PlacementJob,
     now_s: float,
     load: Callable[[Candidate], float],
 ) -> Placement | None:
--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from .decisions import Expected, Grant, Offered, Queued, Quote, Refused
-from .jobs import PREFIX_GROWTH, PREFIX_STEP_TOKENS, EngineTraits, Job
+from .jobs import PREFIX_GROWTH, PREFIX_STEP_TOKENS, Job, QueueEngineTraits
 from .policies.core import Policy, QueueState
 
 __all__ = ["QueueLimits", "Reservation", "TargetQueue"]
@@ -131,7 +131,7 @@
 
     Parameters
     ----------
-    traits : EngineTraits
+    traits : QueueEngineTraits
         The engine's size and speed.
     limits : QueueLimits
         Limits of the queue.
@@ -150,7 +150,7 @@
         Recent engine time of each organisation, in seconds.
     """
 
-    traits: EngineTraits
+    traits: QueueEngineTraits
     limits: QueueLimits = field(default_factory=QueueLimits)
     running: dict[str, Reservation] = field(default_factory=dict)
     waiting: dict[str, _Waiting] = field(default_factory=dict)
--- a/gladedrum/scheduling/rates.py
+++ b/gladedrum/scheduling/rates.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-__all__ = ["NamedRate", "RateLimiter", "interval_s", "report_pause_s", "settle_rate"]
+__all__ = ["NamedRate", "RateLimiter", "interval_s", "report_interval_s", "settle_rate"]
 
 
 class NamedRate(NamedTuple):
@@ -99,7 +99,7 @@
     return min(MAX_INTERVAL_S, 1 / per_s) if per_s > 0 else MAX_INTERVAL_S
 
 
-def report_pause_s(rate: NamedRate | None, usual_s: float) -> float:
+def report_interval_s(rate: NamedRate | None, usual_s: float) -> float:
     """Return the seconds between two reports of a target under its named rate, if any."""
     if rate is None:
         return usual_s
--- a/gladedrum/scheduling/tests/test_expected_loss.py
+++ b/gladedrum/scheduling/tests/test_expected_loss.py
@@ -8,13 +8,13 @@
 from gladedrum.scheduling import expected_loss
 from gladedrum.scheduling.arrivals import LongPromptArrivals
 from gladedrum.scheduling.engine_model import EngineTraits, Work, predict, read_time_s
-from gladedrum.scheduling.expected_loss import Candidate, Job, place, worth_of
+from gladedrum.scheduling.expected_loss import Candidate, PlacementJob, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger, LedgerRow, Stake
 from gladedrum.scheduling.placement_policies import place_by, placement_names
 
 TRAITS = EngineTraits()
-SHORT = Job(5_000, 1_300, worth_of(5_000), 0.3, 0.25)
-LONG = Job(130_000, 700, worth_of(130_000), 2.5, 1.0)
+SHORT = PlacementJob(5_000, 1_300, worth_of(5_000), 0.3, 0.25)
+LONG = PlacementJob(130_000, 700, worth_of(130_000), 2.5, 1.0)
 
 
 def row(name, prompt, answer=1_000, writing=False, held=None):
@@ -151,7 +151,9 @@
     chosen_loss, lowest_loss = 0.0, 0.0
     for _ in range(30):
         engines, prompt = busy_fleet(rng), rng.choice([45_000, 100_000, 190_000, 400_000])
-        job = Job(prompt, 800, worth_of(prompt), 1.5 if prompt < 50_000 else 3.0, 1.0, 12.0)
+        job = PlacementJob(
+            prompt, 800, worth_of(prompt), 1.5 if prompt < 50_000 else 3.0, 1.0, 12.0
+        )
         chosen_loss += place(TRAITS, engines, job, 0.0).loss
         losses = []
         with monkeypatch.context() as patched:
@@ -174,9 +176,9 @@
 
 def test_joint_part_is_read_before_earlier_prompts():
     """Guards against predicting the first events of earlier prompts too early."""
-    for earlier in (Work(100_000, 500), Work(60_000, 500, pair_share=2.0)):
+    for earlier in (Work(100_000, 500), Work(60_000, 500, pair_factor=2.0)):
         alone = predict(TRAITS, [], earlier)[0].first_event_s
-        part = Work(60_000, 0.0, pair_share=3.0, writes=False)
+        part = Work(60_000, 0.0, pair_factor=3.0, writes=False)
         beside = predict(TRAITS, [earlier], part)
         assert beside[0].first_event_s > alone + 0.9
         assert beside[1].first_event_s < 1.2
@@ -187,7 +189,7 @@
     read_left=st.integers(0, 200_000),
     answer_left=st.integers(1, 2_000),
     depth=st.integers(0, 50_000),
-    pair_share=st.sampled_from([1.0, 2.0, 3.0]),
+    pair_factor=st.sampled_from([1.0, 2.0, 3.0]),
     writes=st.booleans(),
 )
 
@@ -196,7 +198,7 @@
     Work,
     read_left=st.integers(1, 200_000),
     answer_left=st.integers(1, 2_000),
-    pair_share=st.sampled_from([1.0, 2.0, 3.0]),
+    pair_factor=st.sampled_from([1.0, 2.0, 3.0]),
     writes=st.booleans(),
 )
 
@@ -205,7 +207,7 @@
 @given(st.lists(works, max_size=10), newcomers, st.floats(1.0, 4.0))
 def test_additional_whole_prompt_speeds_up_no_request(present, newcomer, pace):
     """Holds for whole prompts only: a joint part is read first and reorders the others."""
-    newcomer.pair_share, newcomer.writes = 1.0, True
+    newcomer.pair_factor, newcomer.writes = 1.0, True
     without = predict(TRAITS, present, Work(0.0, 0.0, writes=False), pace)
     beside = predict(TRAITS, present, newcomer, pace)
     for before, after in zip(without[:-1], beside[:-1], strict=True):
@@ -232,7 +234,7 @@
         candidate(f"e{i}", *(row(f"w{i}.{j}", p, writing=w) for j, (p, w) in enumerate(rows)))
         for i, rows in enumerate(engines)
     ]
-    job = Job(prompt, 500, worth_of(prompt), 2.0, 1.0)
+    job = PlacementJob(prompt, 500, worth_of(prompt), 2.0, 1.0)
     chosen = place(TRAITS, candidates, job, 0.0)
     if chosen is None:
         return
--- a/gladedrum/scheduling/tests/test_long_pauses.py
+++ b/gladedrum/scheduling/tests/test_long_pauses.py
@@ -9,11 +9,11 @@
 import pytest
 
 from gladedrum.scheduling import expected_loss
-from gladedrum.scheduling.expected_loss import Candidate, Job, Placement, place, worth_of
+from gladedrum.scheduling.expected_loss import Candidate, Placement, PlacementJob, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger, LedgerRow, Stake
 from gladedrum.scheduling.tests.small_fleet import ENGINES, TRAITS, short_row
 
-LONG = Job(656_533, 650, worth_of(656_533), 2.98, 1.0, 12.0)
+LONG = PlacementJob(656_533, 650, worth_of(656_533), 2.98, 1.0, 12.0)
 WRITERS = (1, 2, 3)
 """Numbers of short answers on successive engines."""
 
@@ -48,10 +48,10 @@
     ]
 
 
-def loss_components(fleet: list[Candidate], job: Job, chosen: Placement) -> LossComponents:
+def loss_components(fleet: list[Candidate], job: PlacementJob, chosen: Placement) -> LossComponents:
     names = (chosen.name, *chosen.helpers)
     by_name = {candidate.name: candidate for candidate in fleet}
-    work = expected_loss.Work(chosen.part_tokens, job.answer_tokens, pair_share=float(len(names)))
+    work = expected_loss.Work(chosen.part_tokens, job.answer_tokens, pair_factor=float(len(names)))
     engines = [expected_loss._engine_state(TRAITS, by_name[name], 0.0, 0.0) for name in names]
     others = sum(expected_loss._simulate(TRAITS, engine, work, 0.0).loss for engine in engines)
     failure_chance = 1 - math.prod(1 - by_name[name].failure_chance for name in names)
@@ -89,7 +89,7 @@
     short_wait = engine("short_wait", *(short_row(f"s{i}") for i in range(3)))
     long_wait = engine("long_wait", long_wait_row("p"))
     slow_reader = TRAITS._replace(read_tokens_per_s=11_000.0)
-    job = Job(29_000, 500, worth_of(29_000), 6.0, 5.0, 20.0)
+    job = PlacementJob(29_000, 500, worth_of(29_000), 6.0, 5.0, 20.0)
     chosen = place(slow_reader, [short_wait, long_wait], job, 0.0)
     assert 2.5 < chosen.first_event_s < 3.0
     assert chosen.name == "long_wait"
--- a/gladedrum/scheduling/tests/test_part_counts.py
+++ b/gladedrum/scheduling/tests/test_part_counts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from gladedrum.scheduling import expected_loss
-from gladedrum.scheduling.expected_loss import Candidate, Job, place, worth_of
+from gladedrum.scheduling.expected_loss import Candidate, PlacementJob, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger
 from gladedrum.scheduling.tests.small_fleet import ENGINES, TRAITS, short_row
 
@@ -13,7 +13,7 @@
 
 
 def long_job(prompt):
-    return Job(prompt, 650, worth_of(prompt), 2.98, 1.0, 12.0)
+    return PlacementJob(prompt, 650, worth_of(prompt), 2.98, 1.0, 12.0)
 
 
 def engine(name, writers):
--- a/gladedrum/scheduling/tests/test_queue.py
+++ b/gladedrum/scheduling/tests/test_queue.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from gladedrum.scheduling import (
-    EngineTraits,
     Job,
     Queued,
+    QueueEngineTraits,
     QueueLimits,
     Refused,
     TargetQueue,
@@ -18,7 +18,7 @@
     policy_names,
 )
 
-_TRAITS = EngineTraits(memory_tokens=10_000, prefill_tokens_per_s=1_000, decode_step_s=0.01)
+_TRAITS = QueueEngineTraits(memory_tokens=10_000, prefill_tokens_per_s=1_000, decode_step_s=0.01)
 
 
 def _job(number, prompt=1_000, output=100, arrival_s=0.0, time_s=1e6, organisation="a"):
--- a/gladedrum/scheduling/tests/test_very_long_prompts.py
+++ b/gladedrum/scheduling/tests/test_very_long_prompts.py
@@ -10,7 +10,7 @@
 
 from gladedrum.scheduling import expected_loss
 from gladedrum.scheduling.engine_model import EngineTraits, read_time_s
-from gladedrum.scheduling.expected_loss import Candidate, Job, place, worth_of
+from gladedrum.scheduling.expected_loss import Candidate, PlacementJob, place, worth_of
 from gladedrum.scheduling.ledger import EngineLedger, LedgerRow, Stake
 
 TRAITS = EngineTraits(
@@ -54,7 +54,7 @@
 
 
 def job(tokens):
-    return Job(tokens, 800, worth_of(tokens), OBJECTIVE_S, 0.8, CALLER_LEAVES_AFTER_S)
+    return PlacementJob(tokens, 800, worth_of(tokens), OBJECTIVE_S, 0.8, CALLER_LEAVES_AFTER_S)
 
 
 def mean_loss(tokens, long_prompts, short_answers, seeds=8):
@@ -93,7 +93,7 @@
 ):
     """Guards the bound on simulated engines under a flash crowd of long prompts."""
     shortlisted = mean_loss(tokens, long_prompts, short_answers)
-    monkeypatch.setattr(expected_loss, "DEFAULT_QUOTED_ENGINES", ENGINES)
+    monkeypatch.setattr(expected_loss, "DEFAULT_SIMULATED_ENGINES", ENGINES)
     assert shortlisted <= 1.05 * mean_loss(tokens, long_prompts, short_answers)
 
 
@@ -119,6 +119,6 @@
     monkeypatch.setattr(
         expected_loss, "_simulate", lambda *args: simulated.append(1) or simulate(*args)
     )
-    short = Job(5_000, 1_600, worth_of(5_000), due_s, 0.2, 2.0)
+    short = PlacementJob(5_000, 1_600, worth_of(5_000), due_s, 0.2, 2.0)
     place(TRAITS, fleet(1, long_prompts=3, short_answers=30), short, 0.0)
     assert len(simulated) <= 18 + expected_loss.MAX_EXTRA_CONNECTED
--- a/gladedrum/targets/owner.py
+++ b/gladedrum/targets/owner.py
@@ -14,7 +14,7 @@
 from ..config import Item, Settings
 from ..errors import TargetBrokenError, TargetUnreachableError
 from ..platform import Target
-from ..scheduling import EngineTraits, Grant, Job, QueueLimits, Quote, Refused, TargetQueue
+from ..scheduling import Grant, Job, QueueEngineTraits, QueueLimits, Quote, Refused, TargetQueue
 from ..scheduling.policies import Policy
 from .engine import EngineClient, EngineSession
 
@@ -110,7 +110,7 @@
         clock: DecisionClock,
         live_sessions: LiveSessions,
     ):
-        traits = EngineTraits(
+        traits = QueueEngineTraits(
             target.memory_tokens,
             target.prefill_tokens_per_s,
             target.attention_tokens,
