--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -28,7 +28,7 @@
 from gladedrum.placing import choosing
 from gladedrum.placing.choosing import Chooser, Demand
 from gladedrum.placing.fleet_view import FleetView
-from gladedrum.placing.placer import MAX_LOST_CHANCE
+from gladedrum.placing.placer import MAX_ABANDON_CHANCE
 from gladedrum.routes import Service
 from gladedrum.scheduling import arrivals, expected_loss
 from gladedrum.scheduling.engine_model import EngineTraits
@@ -180,7 +180,7 @@
             kind.pause_s, "hall", "", arrival.at_s + lost_s,
         )  # fmt: skip
         choice = self._chooser.choose(demand, ())
-        if choice is None or choice.abandon_chance > MAX_LOST_CHANCE:
+        if choice is None or choice.abandon_chance > MAX_ABANDON_CHANCE:
             return
         stream = Stream(arrival.at_s, arrival.answer, len(choice.names), kind.patience_s)
         work_id = f"box_{len(self._streams)}"
--- a/gladedrum/forward/attempt_ends.py
+++ b/gladedrum/forward/attempt_ends.py
@@ -9,7 +9,7 @@
 from .. import gossip
 from ..connections.messages import AnswerHead
 from ..outcome import Completed, Failed, Outcome
-from ..placing.choosing import AllTargetsClosed, CannotServeInTime, CondemnedRequest
+from ..placing.choosing import AllTargetsClosed, NoTargetInTime, RequestCondemned
 
 __all__ = [
     "NOT_RUN_STATUSES",
@@ -67,11 +67,11 @@
 
     Parameters
     ----------
-    come_back_s : float
+    retry_after_s : float
         Time until there may be a new target, in seconds.
     """
 
-    come_back_s: float
+    retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,8 +117,8 @@
 AttemptEnd = (
     Done
     | Refused
-    | CannotServeInTime
-    | CondemnedRequest
+    | NoTargetInTime
+    | RequestCondemned
     | AllTargetsClosed
     | AllLeave
     | Lost
--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -19,15 +19,15 @@
 from ..fleet import TargetReport
 from ..placing.choosing import (
     AllTargetsClosed,
-    CannotServeInTime,
     Choice,
-    CondemnedRequest,
     Demand,
     NoPlacement,
-    SuspectOnHold,
+    NoTargetInTime,
+    RequestCondemned,
+    RequestOnHold,
 )
 from ..placing.fleet_view import START_KNOWN_WITHIN_S
-from ..placing.repeat_pool import Grant
+from ..placing.retry_pool import Grant
 from ..placing.work_plan import WorkPlan, note_from_plan, work_id_of
 from ..platform.headers import ForwardMetadata, forward_headers
 from ..platform.orders import CallKind
@@ -224,7 +224,7 @@
         if self.exchange is not None:
             self.exchange.cancel()
         elif self.retry_grant is not None:
-            self.ctx.repeats.give_back(self.service, self.retry_grant)
+            self.ctx.retry_pool.give_back(self.service, self.retry_grant)
         if self.reservations is not None:
             self.reservations.release()
         self.ctx.view.note_ended(self.plan)
@@ -267,7 +267,7 @@
 
         Releases what it has acquired if the attempt cannot be completed.
         """
-        backoffs = self._ctx.view.rests(self._ctx.clock.seconds())
+        backoffs = self._ctx.view.backoffs(self._ctx.clock.seconds())
         demand = replace(demand, connected=self._connected_targets(demand), closed=backoffs)
         refused = self._known_refusal(demand) or self._check_bounds_locally(demand, bounds)
         if refused is not None:
@@ -346,7 +346,7 @@
         """Undo the bookkeeping of `send` for an attempt that was withheld before it was sent."""
         self.tried.remove(attempt.target)
         if attempt.retry_grant is not None:
-            self._ctx.repeats.give_back(attempt.service, attempt.retry_grant)
+            self._ctx.retry_pool.give_back(attempt.service, attempt.retry_grant)
 
     def set_reading(self, on: bool) -> None:
         """Pause or resume reading the answers that are in progress."""
@@ -368,14 +368,14 @@
 
     def _known_refusal(
         self, demand: Demand
-    ) -> CondemnedRequest | AllLeave | AllTargetsClosed | None:
+    ) -> RequestCondemned | AllLeave | AllTargetsClosed | None:
         """Return a refusal that this box can give without asking another box."""
         refusal = self._ctx.chooser.suspect_refusal(demand)
-        if isinstance(refusal, CondemnedRequest):
+        if isinstance(refusal, RequestCondemned):
             return refusal
         if self._ctx.chooser.all_leave(demand):
             return AllLeave(REPLACEMENT_WAIT_S)
-        backoff_s = self._ctx.chooser.all_rest_s(demand)
+        backoff_s = self._ctx.chooser.all_in_backoff_s(demand)
         return None if backoff_s is None else AllTargetsClosed(backoff_s)
 
     def _check_bounds_locally(self, demand: Demand, bounds: PlacementBounds) -> Refused | None:
@@ -403,7 +403,7 @@
         return None
 
     async def _take_retry(self, demand: Demand) -> Grant | Refused | OverBudget:
-        grant = await self._ctx.repeats.take(demand.service.name)
+        grant = await self._ctx.retry_pool.take(demand.service.name)
         if not grant:
             self._ctx.metrics.repeats.labels("over budget").inc()
             return OverBudget()
@@ -413,7 +413,7 @@
 
     def _return_retry(self, demand: Demand, retry_grant: Grant | None) -> None:
         if retry_grant is not None:
-            self._ctx.repeats.give_back(demand.service.name, retry_grant)
+            self._ctx.retry_pool.give_back(demand.service.name, retry_grant)
 
     async def _acquire(self, attempt: Attempt) -> Refused | AllTargetsClosed | None:
         """Acquire a slot in the target's rate limit and the memory reservations."""
@@ -441,7 +441,7 @@
             self._ctx.free_bound_s,
             self._ctx.reservation_most_s,
             lambda name: self._ctx.view.state(name).born,
-            lambda name: self._ctx.view.rest_s(name, self._ctx.clock.seconds()),
+            lambda name: self._ctx.view.backoff_s(name, self._ctx.clock.seconds()),
         )
         return await attempt.reservations.acquire()
 
@@ -500,9 +500,9 @@
 
 def _end_without_placement(placed: NoPlacement | None) -> AttemptEnd:
     match placed:
-        case SuspectOnHold(reason=reason):
+        case RequestOnHold(reason=reason):
             return Refused(reason, at_target=False)
-        case CannotServeInTime() | CondemnedRequest() | AllTargetsClosed():
+        case NoTargetInTime() | RequestCondemned() | AllTargetsClosed():
             return placed
         case _:
             return _no_room()
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -24,9 +24,9 @@
 from ..placing.condemned_record import CondemnedRecord
 from ..placing.fleet_view import FleetView
 from ..placing.placer import Placer
-from ..placing.repeat_pool import RepeatPool, sharers_of
-from ..placing.repeats import RepeatShares
 from ..placing.reports import ReportReader
+from ..placing.retry_pool import RetryPool, sharers_of
+from ..placing.retry_shares import RetryShares
 from ..placing.statements import TargetStatements
 from ..placing.suspicion import Suspicion
 from ..placing.target_rates import TargetRates
@@ -116,9 +116,9 @@
         self._reports = self._make_reports()
         chooser = Chooser(self.name, reactor, self._targets, self._view)
         self._placer = self._make_placer(chooser)
-        self._repeat_shares = self._make_repeat_shares()
-        self._repeats = RepeatPool(
-            reactor, self._beliefs.coordinators, self._gossip, self._repeat_shares, self._rng
+        self._retry_shares = self._make_retry_shares()
+        self._retry_pool = RetryPool(
+            reactor, self._beliefs.coordinators, self._gossip, self._retry_shares, self._rng
         )
         self._peer_sync = self._make_peer_sync()
         self._ctx = self._make_context(cfg.get(DATA_HALL), chooser)
@@ -191,9 +191,9 @@
             self._beliefs.service,
         )
 
-    def _make_repeat_shares(self) -> RepeatShares:
+    def _make_retry_shares(self) -> RetryShares:
         settings, beliefs = self._settings, self._beliefs
-        return RepeatShares(
+        return RetryShares(
             settings.retry_ratio,
             settings.retry_slack,
             settings.retry_window_s,
@@ -229,7 +229,7 @@
             view=self._view,
             pool=self._pool,
             port=self._gossip,
-            repeats=self._repeats,
+            retry_pool=self._retry_pool,
             suspicion=self._suspicion,
             rates=self._rates,
             free_bound_s=settings.free_bound_s,
@@ -276,7 +276,7 @@
         self._settings = now
         self._ctx.admission.set_key_bound(now.key_bound_s, now.keys_expire)
         self._beliefs.set_bounds(now)
-        self._repeat_shares.set_bound(now.retry_ratio, now.retry_slack, now.retry_window_s)
+        self._retry_shares.set_budget(now.retry_ratio, now.retry_slack, now.retry_window_s)
         self._ctx.free_bound_s = now.free_bound_s
         self._ctx.reservation_most_s = now.reservation_most_s
         self._callers.keep = now.keep_callers
@@ -378,7 +378,7 @@
         self._view.receive(message, self._targets.entries.keys(), self._reactor.seconds())
         self._placer.receive(message, address)
         self._peer_sync.receive(message, address)
-        self._repeats.receive(message, address)
+        self._retry_pool.receive(message, address)
         self._suspicion.receive(message)
         self._rates.receive(message, address)
         self._statements.receive(message)
--- a/gladedrum/forward/context.py
+++ b/gladedrum/forward/context.py
@@ -12,7 +12,7 @@
 from ..placing.choosing import Chooser
 from ..placing.fleet_view import FleetView
 from ..placing.placer import Placer
-from ..placing.repeat_pool import RepeatPool
+from ..placing.retry_pool import RetryPool
 from ..placing.suspicion import Suspicion
 from ..placing.target_rates import TargetRates
 from ..routes import Service
@@ -36,7 +36,7 @@
         A monotonic clock.
     admission, targets, chooser, placer, view, pool, port : various
         Parts of the box, see their classes.
-    repeats : RepeatPool
+    retry_pool : RetryPool
         The retry budget.
     suspicion : Suspicion
         Knows which requests are suspected of crashing targets.
@@ -64,7 +64,7 @@
     view: FleetView
     pool: TargetPool
     port: gossip.GossipPort
-    repeats: RepeatPool
+    retry_pool: RetryPool
     suspicion: Suspicion
     rates: TargetRates
     free_bound_s: float
--- a/gladedrum/forward/metrics.py
+++ b/gladedrum/forward/metrics.py
@@ -56,7 +56,7 @@
             "gladedrum_targets_leaving", "Targets that have said in answers that they leave.",
             registry=self.registry,
         )  # fmt: skip
-        self.resting = Gauge(
+        self.backing_off = Gauge(
             "gladedrum_targets_resting", "Targets that want nothing from this box for a while.",
             registry=self.registry,
         )  # fmt: skip
--- a/gladedrum/forward/pages.py
+++ b/gladedrum/forward/pages.py
@@ -67,7 +67,7 @@
         shown = self._statements.shown()
         self._metrics.rated.set(len(shown["rates"]))
         self._metrics.leaving.set(len(shown["leaving"]))
-        self._metrics.resting.set(len(shown["rests"]))
+        self._metrics.backing_off.set(len(shown["rests"]))
         request.setHeader("Content-Type", CONTENT_TYPE_LATEST)
         return generate_latest(self._metrics.registry)
 
--- a/gladedrum/forward/request_task.py
+++ b/gladedrum/forward/request_task.py
@@ -16,7 +16,7 @@
 from ..connections.messages import CallerGone, CallerRequest, Mailbox
 from ..errors import TargetBackoffError, TargetNotListeningError
 from ..outcome import Failed, NotRun, Outcome, Unknown
-from ..placing.choosing import AllTargetsClosed, CannotServeInTime, Choice, CondemnedRequest, Demand
+from ..placing.choosing import AllTargetsClosed, Choice, Demand, NoTargetInTime, RequestCondemned
 from ..placing.reports import read_report
 from ..platform.headers import CallerMetadata
 from ..routes import Route
@@ -173,7 +173,7 @@
                 self._deadline_s,
             )
         )
-        self._ctx.repeats.note_request(self._demand.service.name)
+        self._ctx.retry_pool.note_request(self._demand.service.name)
         while True:
             end = await self._run_attempt()
             if isinstance(end, Done):
@@ -344,7 +344,7 @@
         if not silent.plan.prompt_tokens:
             return
         state = self._ctx.view.state(silent.target)
-        if state.rate is not None or self._ctx.view.rest_s(silent.target, self._now_s()):
+        if state.rate is not None or self._ctx.view.backoff_s(silent.target, self._now_s()):
             # A report would use up a request of the target's rate limit, or breach its backoff.
             return
         if self._now_s() - state.reported_s <= FRESH_REPORT_AGE_S:
@@ -395,17 +395,17 @@
         match end:
             case OverBudget():
                 return self._give_up("the repeats that may be sent are used up")
-            case CannotServeInTime(come_back_s=come_back_s):
+            case NoTargetInTime(retry_after_s=retry_after_s):
                 reason = "no target can begin it before its caller leaves"
-                return self._give_up(reason, come_back_s)
-            case CondemnedRequest(come_back_s=come_back_s):
+                return self._give_up(reason, retry_after_s)
+            case RequestCondemned(retry_after_s=retry_after_s):
                 self._ctx.metrics.barred.inc()
-                return self._give_up("the targets that run it end", come_back_s)
-            case AllLeave(come_back_s=come_back_s):
+                return self._give_up("the targets that run it end", retry_after_s)
+            case AllLeave(retry_after_s=retry_after_s):
                 reason = "all targets of the service leave"
-                return self._give_up(reason, self._jittered_s(come_back_s))
-            case AllTargetsClosed(come_back_s=come_back_s):
-                return await self._wait_or_refuse(come_back_s)
+                return self._give_up(reason, self._jittered_s(retry_after_s))
+            case AllTargetsClosed(retry_after_s=retry_after_s):
+                return await self._wait_or_refuse(retry_after_s)
             case Withheld(reason=reason):
                 # Another target may be free: the attempt waited for a connection, not for room.
                 is_over = self._now_s() >= self._deadline_s or self._withheld_count >= MAX_WITHHELD
@@ -430,19 +430,19 @@
                 return None if self._may_run_again() else self._forward_failure(end)
         raise AssertionError(f"unexpected end of an attempt: {end}")
 
-    async def _wait_or_refuse(self, come_back_s: float) -> Outcome | None:
+    async def _wait_or_refuse(self, retry_after_s: float) -> Outcome | None:
         """Wait if a target takes requests again soon, else refuse the request."""
         wait_until_s = self._req.arrived_s + MAX_WAIT_SHARE * self._admitted.route.objective_s
-        if self._now_s() + come_back_s <= wait_until_s:
-            await self._pause(come_back_s)
+        if self._now_s() + retry_after_s <= wait_until_s:
+            await self._pause(retry_after_s)
             return None
         self._ctx.metrics.places.labels("none").inc()
         reason = "no target takes more, by the rates and rests that they have named"
-        return self._give_up(reason, self._jittered_s(come_back_s))
+        return self._give_up(reason, self._jittered_s(retry_after_s))
 
-    def _jittered_s(self, come_back_s: float) -> float:
+    def _jittered_s(self, retry_after_s: float) -> float:
         """Return a Retry-After with random jitter, so that callers do not all return at once."""
-        return come_back_s * self._ctx.rng.uniform(1.0, RETRY_AFTER_SPREAD)
+        return retry_after_s * self._ctx.rng.uniform(1.0, RETRY_AFTER_SPREAD)
 
     def _count_run(self) -> None:
         self._run_count += 1
@@ -465,12 +465,12 @@
     def _attempt_count(self) -> int:
         return self._dispatcher.attempt_count if self._dispatcher is not None else 0
 
-    def _give_up(self, reason: str, come_back_s: float = RETRY_AFTER_S) -> Outcome:
+    def _give_up(self, reason: str, retry_after_s: float = RETRY_AFTER_S) -> Outcome:
         if self._failed_answer is not None:
             return self._forward_failure(self._failed_answer)
         if self._run_count:
             return self._answer.fail(Unknown(reason))
-        return self._answer.refuse(NotRun(reason, come_back_s))
+        return self._answer.refuse(NotRun(reason, retry_after_s))
 
     def _forward_failure(self, answer: FailedAnswer) -> Outcome:
         if self._answer.begun:
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -28,8 +28,8 @@
 from gladedrum.placing.choosing import Chooser
 from gladedrum.placing.fleet_view import FleetView
 from gladedrum.placing.placer import Placer
-from gladedrum.placing.repeat_pool import RepeatPool
-from gladedrum.placing.repeats import RepeatShares
+from gladedrum.placing.retry_pool import RetryPool
+from gladedrum.placing.retry_shares import RetryShares
 from gladedrum.placing.statements import TargetStatements
 from gladedrum.placing.suspicion import Suspicion
 from gladedrum.placing.target_rates import TargetRates
@@ -192,8 +192,8 @@
         )
         self.statements = TargetStatements(self.net, self.targets, self.view, rates, self.port)
         target_pool.gate = self.statements
-        self.repeats = RepeatShares(4.0, 1000.0, 1.0, lambda: 1)
-        pool = RepeatPool(self.net, coordinators, self.port, self.repeats, random.Random(1))
+        self.retry_shares = RetryShares(4.0, 1000.0, 1.0, lambda: 1)
+        pool = RetryPool(self.net, coordinators, self.port, self.retry_shares, random.Random(1))
         self.ctx = ForwardContext(
             box=me,
             data_hall="hall",
@@ -205,7 +205,7 @@
             view=self.view,
             pool=target_pool,
             port=self.port,
-            repeats=pool,
+            retry_pool=pool,
             suspicion=Suspicion(self.net, self.view, self.targets, self.port),
             rates=rates,
             free_bound_s=4.0,
@@ -240,7 +240,7 @@
     def _receive_gossip(self, message, address):
         self.view.receive(message, self.targets.entries.keys(), self.net.seconds())
         self.ctx.placer.receive(message, address)
-        self.ctx.repeats.receive(message, address)
+        self.ctx.retry_pool.receive(message, address)
         self.ctx.suspicion.receive(message)
         self.ctx.rates.receive(message, address)
         self.statements.receive(message)
--- a/gladedrum/forward/tests/test_grey_target.py
+++ b/gladedrum/forward/tests/test_grey_target.py
@@ -82,7 +82,7 @@
     world.run(0.3)
     peer = plain_world()
     for note in notes:
-        peer.view._take_work(note, "peer", 1.0)
+        peer.view._apply_work_note(note, "peer", 1.0)
     assert peer.view.state(name_of(side)).distrust_at(1.0) > 0
     assert peer.view.state(name_of(side)).ledger.rows
 
--- a/gladedrum/forward/tests/test_hedge_preparation_failures.py
+++ b/gladedrum/forward/tests/test_hedge_preparation_failures.py
@@ -29,13 +29,13 @@
 def test_a_failed_hedge_placement_refunds_its_retry(monkeypatch):
     world = streaming_world(time_limit_s=8.0)
     _callers, (lead,) = start_streams(world, 1)
-    world.repeats.set_bound(0.0, 6.0, 1e9)
-    before = world.repeats.left("s", world.net.seconds())
+    world.retry_shares.set_budget(0.0, 6.0, 1e9)
+    before = world.retry_shares.left("s", world.net.seconds())
     fail_once(monkeypatch, world.ctx.placer, "place")
     wait_with_reports(world, 1.45)
     assert len(world.net.opened) == 1
     lead.reply(chunk(event(2)) + chunk(b""))
-    assert world.repeats.left("s", world.net.seconds()) == pytest.approx(before)
+    assert world.retry_shares.left("s", world.net.seconds()) == pytest.approx(before)
 
 
 def test_a_failed_hedge_preparation_releases_its_placement(monkeypatch):
--- a/gladedrum/forward/tests/test_hedging.py
+++ b/gladedrum/forward/tests/test_hedging.py
@@ -30,7 +30,7 @@
 
 
 def exhaust_retry_budget(world):
-    world.repeats.set_bound(0.0, 0.0, 1.0)
+    world.retry_shares.set_budget(0.0, 0.0, 1.0)
 
 
 def wait_with_reports(world, seconds):
@@ -69,7 +69,7 @@
 def test_streams_that_pause_together_are_kept_and_cause_no_distrust():
     world = streaming_world()
     callers, targets = start_streams(world, 9)
-    world.repeats.set_bound(0.0, 6.0, 1.0)
+    world.retry_shares.set_budget(0.0, 6.0, 1.0)
     world.net.connect_delay_s = 5.0
     wait_with_reports(world, 1.8)
     for target in targets:
@@ -166,14 +166,14 @@
 def test_a_hedge_in_preparation_replaces_a_broken_lead():
     world = streaming_world()
     prepared = []
-    take = world.ctx.repeats.take
+    take = world.ctx.retry_pool.take
 
     async def delayed_take(service):
         await sleep(world.net, 0.5)
         prepared.append(service)
         return await take(service)
 
-    world.ctx.repeats.take = delayed_take
+    world.ctx.retry_pool.take = delayed_take
     (caller,), (lead,) = start_streams(world, 1)
     wait_with_reports(world, 1.5)
     assert not prepared
@@ -192,7 +192,7 @@
         await sleep(world.net, 0.5)
         return True
 
-    world.ctx.repeats.take = delayed_take
+    world.ctx.retry_pool.take = delayed_take
     (_caller,), (lead,) = start_streams(world, 1)
     wait_with_reports(world, 1.5)
     lead.reply(chunk(event(2)))
--- a/gladedrum/forward/tests/test_hedging_edge_cases.py
+++ b/gladedrum/forward/tests/test_hedging_edge_cases.py
@@ -99,7 +99,7 @@
 
 def test_a_long_answer_broken_during_hedge_placement_is_not_joined_with_the_hedge():
     world = plain_world()
-    world.ctx.repeats.take = delayed(world, world.ctx.repeats.take)
+    world.ctx.retry_pool.take = delayed(world, world.ctx.retry_pool.take)
     caller, lead = send_and_connect(world)
     world.run(1.0)
     lead.reply(stream_head() + chunk(LONG))
@@ -136,19 +136,19 @@
 def test_no_retry_is_charged_when_the_caller_disconnects_during_placement():
     world = streaming_world()
     (caller,), (_lead,) = start_streams(world, 1)
-    world.repeats.set_bound(0.0, 6.0, 1e9)
-    before = world.repeats.left("s", world.net.seconds())
+    world.retry_shares.set_budget(0.0, 6.0, 1e9)
+    before = world.retry_shares.left("s", world.net.seconds())
     world.ctx.placer.place = delayed(world, world.ctx.placer.place)
     wait_with_reports(world, 1.5)
     caller.disconnect()
     world.run(1.0)
-    assert world.repeats.left("s", world.net.seconds()) == pytest.approx(before)
+    assert world.retry_shares.left("s", world.net.seconds()) == pytest.approx(before)
     assert placed_work(world) == 0
 
 
 def test_no_hedge_is_sent_for_a_slow_caller():
     world = streaming_world()
-    world.ctx.repeats.take = delayed(world, world.ctx.repeats.take)
+    world.ctx.retry_pool.take = delayed(world, world.ctx.retry_pool.take)
     (caller,), (_lead,) = start_streams(world, 1)
     wait_with_reports(world, 1.5)
     caller.proto.pauseProducing()
@@ -193,13 +193,13 @@
 
     world = streaming_world(time_limit_s=4.0)
     start_streams(world, 1)
-    world.repeats.set_bound(0.0, 6.0, 1e9)
-    before = world.repeats.left("s", world.net.seconds())
+    world.retry_shares.set_budget(0.0, 6.0, 1e9)
+    before = world.retry_shares.left("s", world.net.seconds())
     choose = world.ctx.chooser.choose
     world.ctx.chooser.choose = lambda *args: choose(*args)._replace(reserved=True)
     monkeypatch.setattr("gladedrum.forward.attempts.AttemptDispatcher._reserve", no_memory)
     wait_with_reports(world, 3.0)
-    assert world.repeats.left("s", world.net.seconds()) == pytest.approx(before)
+    assert world.retry_shares.left("s", world.net.seconds()) == pytest.approx(before)
 
 
 def test_a_hedge_that_is_not_sent_does_not_count_as_a_long_prompt():
--- a/gladedrum/forward/tests/test_reservations.py
+++ b/gladedrum/forward/tests/test_reservations.py
@@ -156,7 +156,7 @@
     world, caller, sent = world_with_reservations()
     sent.reply(stream_head())
     for name in ("t1", "t2", "t3"):
-        world.view.note_rest(name, backoff_s, world.net.seconds())
+        world.view.note_backoff(name, backoff_s, world.net.seconds())
     return world, caller
 
 
--- a/gladedrum/forward/tests/test_target_restart.py
+++ b/gladedrum/forward/tests/test_target_restart.py
@@ -60,7 +60,7 @@
 def test_a_stream_that_continues_after_a_reported_restart_is_kept():
     world = stream_world()
     report_start(world, OLD)
-    world.repeats.set_bound(0.0, 0.0, 1.0)
+    world.retry_shares.set_budget(0.0, 0.0, 1.0)
     caller, side = start_stream(world)
     world.run(1.2, step_s=0.1)
     report_start(world, NEW, target_name(side))
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -25,13 +25,13 @@
 
 __all__ = [
     "AllTargetsClosed",
-    "CannotServeInTime",
     "Choice",
     "Chooser",
-    "CondemnedRequest",
     "Demand",
     "NoPlacement",
-    "SuspectOnHold",
+    "NoTargetInTime",
+    "RequestCondemned",
+    "RequestOnHold",
 ]
 
 DISTRUST_LIMIT = 0.6
@@ -137,33 +137,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CannotServeInTime:
+class NoTargetInTime:
     """Not placed: no target is likely to begin the answer before the caller leaves.
 
     Parameters
     ----------
-    come_back_s : float
+    retry_after_s : float
         Seconds until a target could serve the request.
     """
 
-    come_back_s: float
+    retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class CondemnedRequest:
+class RequestCondemned:
     """Not placed: the request is condemned, since it ends the targets that run it.
 
     Parameters
     ----------
-    come_back_s : float
+    retry_after_s : float
         Seconds until the request may be tried again.
     """
 
-    come_back_s: float
+    retry_after_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class SuspectOnHold:
+class RequestOnHold:
     """Not placed: the request is suspected of ending targets, and its other run is not settled yet.
 
     Parameters
@@ -181,14 +181,14 @@
 
     Parameters
     ----------
-    come_back_s : float
+    retry_after_s : float
         Seconds until the first target takes a request.
     """
 
-    come_back_s: float
+    retry_after_s: float
 
 
-NoPlacement = CannotServeInTime | CondemnedRequest | SuspectOnHold | AllTargetsClosed
+NoPlacement = NoTargetInTime | RequestCondemned | RequestOnHold | AllTargetsClosed
 """Why a request is not placed now; a choice of None means that no target has room."""
 
 
@@ -245,7 +245,7 @@
         closed = self._view.closed(now_s)
         return min(max(closed.get(e.name, 0.0), demand.closed.get(e.name, 0.0)) for e in listed)
 
-    def all_rest_s(self, demand: Demand) -> float | None:
+    def all_in_backoff_s(self, demand: Demand) -> float | None:
         """Return the seconds until the first backoff ends if all targets are in one, else None."""
         listed = self._usable_targets(demand.service.name)
         if not listed or any(entry.name not in demand.closed for entry in listed):
@@ -275,7 +275,7 @@
             return Standing.CLEAR
         return self._view.suspects.standing(demand.digest, self._clock.seconds())
 
-    def suspect_refusal(self, demand: Demand) -> CondemnedRequest | SuspectOnHold | None:
+    def suspect_refusal(self, demand: Demand) -> RequestCondemned | RequestOnHold | None:
         """Return why a suspected request must not run now, None if it may.
 
         A request to an engine waits from its first loss on while another run of it is under way. A
@@ -287,13 +287,13 @@
         suspects, now_s = self._view.suspects, self._clock.seconds()
         match suspects.standing(demand.digest, now_s):
             case Standing.CONDEMNED:
-                return CondemnedRequest(suspects.condemned_row(demand.digest, now_s).left_s)
+                return RequestCondemned(suspects.condemned_row(demand.digest, now_s).left_s)
             case Standing.HELD:
-                return SuspectOnHold()
+                return RequestOnHold()
             case Standing.ALONE if self._is_running(demand.digest):
-                return SuspectOnHold()
+                return RequestOnHold()
             case Standing.WATCHED if demand.service.engine and self._is_running(demand.digest):
-                return SuspectOnHold()
+                return RequestOnHold()
             case _:
                 return None
 
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -332,26 +332,26 @@
         _log.info("target changed its rate limit", extra=extra)
         return True
 
-    def note_rest(self, target: str, for_s: float, now_s: float) -> None:
+    def note_backoff(self, target: str, for_s: float, now_s: float) -> None:
         """Record that a target takes nothing from this box for `for_s` seconds.
 
         The backoff is cut to `MAX_BACKOFF_S`; of overlapping backoffs, the later end counts.
         """
-        left_s = max(self.rest_s(target, now_s), min(for_s, MAX_BACKOFF_S))
+        left_s = max(self.backoff_s(target, now_s), min(for_s, MAX_BACKOFF_S))
         self._backoffs[target] = _Backoff(self._states[target].born, now_s + left_s)
         extra = {"target": target, "for_s": for_s, "left_s": round(left_s, 3)}
         _log.info("target asked for backoff", extra=extra)
 
-    def rest_s(self, target: str, now_s: float) -> float:
+    def backoff_s(self, target: str, now_s: float) -> float:
         """Return the remaining backoff of a target in seconds, 0 if there is none."""
         backoff = self._backoffs.get(target)
         if backoff is None or 0 < backoff.born < self._states[target].born:
             return 0.0
         return max(0.0, backoff.until_s - now_s)
 
-    def rests(self, now_s: float) -> dict[str, float]:
+    def backoffs(self, now_s: float) -> dict[str, float]:
         """Return the targets that are in backoff now, and for how many more seconds."""
-        left_s = {name: self.rest_s(name, now_s) for name in self._backoffs}
+        left_s = {name: self.backoff_s(name, now_s) for name in self._backoffs}
         for name in [name for name, for_s in left_s.items() if not for_s]:
             del self._backoffs[name]
             _log.info("backoff of target ended", extra={"target": name})
@@ -401,12 +401,12 @@
         """Process a peer's notes on targets that this box knows."""
         for note in message.work or ():
             if all(target in known for target in note.targets or ()):
-                self._take_work(note, message.box or "", now_s)
+                self._apply_work_note(note, message.box or "", now_s)
         for note in message.reports or ():
             if note.target in known:
                 self._apply_report_note(note, message.box or "", now_s)
 
-    def _take_work(self, note: WorkNote, box: str, now_s: float) -> None:
+    def _apply_work_note(self, note: WorkNote, box: str, now_s: float) -> None:
         plan = plan_from_note(note)
         if not plan.targets:
             return
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -22,13 +22,13 @@
 from ..scheduling.suspects import Standing
 from .choosing import (
     AllTargetsClosed,
-    CannotServeInTime,
     Choice,
     Chooser,
-    CondemnedRequest,
     Demand,
     NoPlacement,
-    SuspectOnHold,
+    NoTargetInTime,
+    RequestCondemned,
+    RequestOnHold,
 )
 from .coordinator_client import CoordinatorClient
 from .fleet_view import FleetView
@@ -44,12 +44,12 @@
 `CoordinatorGroup.ranked_members`: two boxes that place long prompts at the same moment would pick
 the same idle engines."""
 
-MAX_LOST_CHANCE = 0.9
+MAX_ABANDON_CHANCE = 0.9
 """A request is refused at once if the probability that its caller leaves before the first event is
 higher than this on the targets that serve it best. Serving it would only delay other requests."""
 
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.25, 10.0
-"""Bounds of Retry-After for a request that `MAX_LOST_CHANCE` refuses, in seconds: a few passes
+"""Bounds of Retry-After for a request that `MAX_ABANDON_CHANCE` refuses, in seconds: a few passes
 of an engine, and the longest time that callers wait."""
 
 WARM_UP_S = 3.0
@@ -155,9 +155,9 @@
         if choice is None:
             reopens_s = self._chooser.reopens_s(demand)
             return None if reopens_s is None else AllTargetsClosed(reopens_s)
-        if choice.abandon_chance > MAX_LOST_CHANCE and not demand.committed:
+        if choice.abandon_chance > MAX_ABANDON_CHANCE and not demand.committed:
             wait_s = choice.first_event_s - (demand.first_due_s - self._clock.seconds())
-            return CannotServeInTime(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
+            return NoTargetInTime(min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s)))
         plan = self._chooser.record_choice(work_id, demand, choice)
         self._port.broadcast_work(note_from_plan(plan, gossip.PLACED))
         return choice, plan
@@ -266,11 +266,11 @@
 
     def _choice_from_note(self, note: ChoiceNote, member: str) -> Choice | NoPlacement | None:
         if note.come_back_s:
-            return CannotServeInTime(note.come_back_s)
+            return NoTargetInTime(note.come_back_s)
         if note.condemned_s:
-            return CondemnedRequest(note.condemned_s)
+            return RequestCondemned(note.condemned_s)
         if note.held:
-            return SuspectOnHold()
+            return RequestOnHold()
         if note.closed_s:
             return AllTargetsClosed(note.closed_s)
         entries = [self._usable_entry(name) for name in note.targets or ()]
@@ -293,7 +293,7 @@
         )
 
     def _usable_entry(self, name: str) -> TargetEntry | None:
-        in_backoff = self._view.rest_s(name, self._clock.seconds())
+        in_backoff = self._view.backoff_s(name, self._clock.seconds())
         usable = self._targets.accepts_requests(name) and not in_backoff
         return self._targets.entries.get(name) if usable else None
 
@@ -335,13 +335,13 @@
     match placed:
         case None:
             return ChoiceNote(work_id, [])
-        case CannotServeInTime(come_back_s=wait_s):
+        case NoTargetInTime(retry_after_s=wait_s):
             return ChoiceNote(work_id, [], come_back_s=wait_s)
-        case CondemnedRequest(come_back_s=wait_s):
+        case RequestCondemned(retry_after_s=wait_s):
             return ChoiceNote(work_id, [], condemned_s=wait_s)
-        case SuspectOnHold():
+        case RequestOnHold():
             return ChoiceNote(work_id, [], held=True)
-        case AllTargetsClosed(come_back_s=wait_s):
+        case AllTargetsClosed(retry_after_s=wait_s):
             return ChoiceNote(work_id, [], closed_s=wait_s)
         case choice, _plan:
             return ChoiceNote(
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -112,7 +112,7 @@
             return False
         now_s = self._clock.seconds()
         state = self._view.state(entry.name)
-        if self._view.rest_s(entry.name, now_s):
+        if self._view.backoff_s(entry.name, now_s):
             # The next box in its order takes over at `SECOND_READER_AGE_S`.
             return False
         rate_delay_s = self._rate_delay_s(entry.name, now_s)
--- a/gladedrum/placing/repeat_pool.py
+++ b/gladedrum/placing/retry_pool.py
@@ -21,9 +21,9 @@
 from ..beliefs.coordinators import ANSWER_TIMEOUT_S, GROUP_SIZE, CoordinatorGroup
 from ..gossip.port import GossipPort
 from ..gossip.wire.ttypes import Gossip, RepeatAsk, RepeatGrant
-from .repeats import RepeatShares
+from .retry_shares import RetryShares
 
-__all__ = ["Grant", "RepeatPool", "sharers_of"]
+__all__ = ["Grant", "RetryPool", "sharers_of"]
 
 MAX_MEMBERS_ASKED = 2
 """Number of coordinators that are asked for a retry: the first may be slow, or have spent its part
@@ -51,7 +51,7 @@
     PEER = "a peer's"
 
 
-class RepeatPool:
+class RetryPool:
     """Takes retries from this box's share or from that of a coordinator.
 
     Parameters
@@ -62,7 +62,7 @@
         The coordinator group, which holds the slack.
     port : GossipPort
         Sends datagrams to other boxes.
-    shares : RepeatShares
+    shares : RetryShares
         This box's share.
     rng : random.Random
         Selects the coordinators to ask.
@@ -73,7 +73,7 @@
         clock: IReactorTime,
         coordinators: CoordinatorGroup,
         port: GossipPort,
-        shares: RepeatShares,
+        shares: RetryShares,
         rng: random.Random,
     ):
         self._clock = clock
--- a/gladedrum/placing/repeats.py
+++ b/gladedrum/placing/retry_shares.py
@@ -7,7 +7,7 @@
 
 Examples
 --------
->>> shares = RepeatShares(ratio=0.2, slack=100, window_s=10, sharers=lambda: 5)
+>>> shares = RetryShares(ratio=0.2, slack=100, window_s=10, sharers=lambda: 5)
 >>> shares.take("s", 0.0), shares.take("s", 1.0)
 (False, True)
 """
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-__all__ = ["RepeatShares"]
+__all__ = ["RetryShares"]
 
 SLACK_SHARE = 0.5
 """Part of the slack that is used: the number of boxes is known with a delay, and a bucket that is
@@ -33,7 +33,7 @@
     updated_s: float
 
 
-class RepeatShares:
+class RetryShares:
     """Token buckets, one per service.
 
     Parameters
@@ -46,10 +46,10 @@
 
     def __init__(self, ratio: float, slack: float, window_s: float, sharers: Callable[[], int]):
         self._sharers = sharers
-        self.set_bound(ratio, slack, window_s)
+        self.set_budget(ratio, slack, window_s)
         self._buckets: dict[str, _Bucket] = {}
 
-    def set_bound(self, ratio: float, slack: float, window_s: float) -> None:
+    def set_budget(self, ratio: float, slack: float, window_s: float) -> None:
         """Change the budget; tokens above a smaller capacity drain from the next call on."""
         self._ratio = RATIO_SHARE * ratio
         self._slack = SLACK_SHARE * slack
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -112,7 +112,7 @@
         """
         if kind in _NEW_WORK and not self._targets.accepts_requests(target):
             raise NoLongerAllowedError("the target is leaving")
-        if kind is not CallKind.RENEW and self.rest_s(target):
+        if kind is not CallKind.RENEW and self.backoff_s(target):
             raise NoLongerAllowedError("the target wants rest")
         if target not in self._targets.entries:
             return 0
@@ -120,9 +120,9 @@
             self._rates.note_call(target)
         return self._view.state(target).born
 
-    def rest_s(self, target: str) -> float:
+    def backoff_s(self, target: str) -> float:
         """Return the remaining backoff of a target in seconds, 0 if there is none."""
-        return self._view.rest_s(target, self._clock.seconds())
+        return self._view.backoff_s(target, self._clock.seconds())
 
     def note_answer(self, target: str, born: int, said: Statements, sent_s: float) -> None:
         """Process the statements in an answer to this box.
@@ -142,7 +142,7 @@
         if said.leaves:
             self._note_leaving(target, self._view.state(target).born, "")
         if said.rest_s:
-            self._view.note_rest(target, said.rest_s, self._clock.seconds())
+            self._view.note_backoff(target, said.rest_s, self._clock.seconds())
 
     # Peers.
 
@@ -191,7 +191,7 @@
             ],
             rests=[
                 ShownBackoff(target=name, left_s=round(for_s, 2))
-                for name, for_s in sorted(self._view.rests(now_s).items())
+                for name, for_s in sorted(self._view.backoffs(now_s).items())
             ],
         )
 
--- a/gladedrum/placing/tests/test_repeats.py
+++ b/gladedrum/placing/tests/test_repeats.py
@@ -9,8 +9,8 @@
 
 from gladedrum.beliefs.coordinators import CoordinatorGroup
 from gladedrum.gossip.wire.ttypes import Gossip
-from gladedrum.placing.repeat_pool import ANSWER_TIMEOUT_S, RepeatPool, sharers_of
-from gladedrum.placing.repeats import RepeatShares
+from gladedrum.placing.retry_pool import ANSWER_TIMEOUT_S, RetryPool, sharers_of
+from gladedrum.placing.retry_shares import RetryShares
 from gladedrum.utils import start
 
 RATIO, SLACK, WINDOW_S = 0.2, 100.0, 10.0
@@ -24,7 +24,7 @@
 )
 def test_no_window_holds_more_retries_than_the_budget(boxes, per_s, restarts):
     def fresh():
-        return RepeatShares(RATIO, SLACK, WINDOW_S, lambda: boxes)
+        return RetryShares(RATIO, SLACK, WINDOW_S, lambda: boxes)
 
     shares = [fresh() for _ in range(boxes)]
     sent, asked = [], []
@@ -45,7 +45,7 @@
 
 
 def test_a_starting_box_has_an_empty_share():
-    assert not RepeatShares(RATIO, SLACK, WINDOW_S, lambda: 1).take("s", 0.0)
+    assert not RetryShares(RATIO, SLACK, WINDOW_S, lambda: 1).take("s", 0.0)
 
 
 LARGE_FLEET, SMALL_FLEET = 300, 9
@@ -76,13 +76,13 @@
     for name in addresses:
         others = {n: a for n, a in addresses.items() if n != name}
         coordinators = CoordinatorGroup(name, lambda others=others: others)
-        shares = RepeatShares(
+        shares = RetryShares(
             RATIO,
             SLACK,
             WINDOW_S,
             lambda coordinators=coordinators: sharers_of(coordinators, boxes),
         )
-        pools.append(RepeatPool(clock, coordinators, Wire(name), shares, random.Random(name)))
+        pools.append(RetryPool(clock, coordinators, Wire(name), shares, random.Random(name)))
     return clock, pools
 
 
@@ -201,7 +201,7 @@
     live = dict.fromkeys(range(boxes))
 
     def fresh():
-        return RepeatShares(RATIO, SLACK, WINDOW_S, lambda: max(1, len(live)))
+        return RetryShares(RATIO, SLACK, WINDOW_S, lambda: max(1, len(live)))
 
     shares = [fresh() for _ in range(boxes)]
     back_at, sent = {}, []
--- a/gladedrum/placing/tests/test_statements.py
+++ b/gladedrum/placing/tests/test_statements.py
@@ -79,18 +79,18 @@
     answer_with(world, Statements(rest_s=4.0))
     world.net.advance(1.0)
     answer_with(world, Statements(rest_s=1.0))
-    assert world.statements.rest_s("t1") == pytest.approx(3.0)
+    assert world.statements.backoff_s("t1") == pytest.approx(3.0)
 
 
 def test_an_answer_without_a_backoff_does_not_end_one(world):
     answer_with(world, BACKOFF)
     answer_with(world, Statements())
-    assert world.statements.rest_s("t1") == pytest.approx(3.0)
+    assert world.statements.backoff_s("t1") == pytest.approx(3.0)
 
 
 def test_a_long_backoff_is_cut_to_the_maximum(world):
     answer_with(world, Statements(rest_s=9e8))
-    assert world.statements.rest_s("t1") == MAX_BACKOFF_S
+    assert world.statements.backoff_s("t1") == MAX_BACKOFF_S
     world.net.advance(MAX_BACKOFF_S)
     assert allowed_kinds(world) == set(CallKind)
 
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -134,7 +134,7 @@
 
 def _ignore_backoff() -> None:
     """Ignore the backoff that a target asks for."""
-    FleetView.note_rest = lambda _view, *_rest: None
+    FleetView.note_backoff = lambda _view, *_rest: None
 
 
 def _ignore_eras() -> None:
