--- a/gladedrum/connections/events.py
+++ b/gladedrum/connections/events.py
@@ -5,7 +5,7 @@
 >>> splitter = EventSplitter()
 >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
 [Event(event_id=b'1', raw=b'id: 1\\ndata: a\\n\\n')]
->>> splitter.rest
+>>> splitter.remainder
 b'id: 2\\nda'
 """
 
@@ -29,14 +29,14 @@
     """Buffers the bytes of a stream and returns events once they are complete."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Add bytes; return the events that are now complete."""
-        self.rest += data
+        self.remainder += data
         events = []
-        while end := _EVENT_END.search(self.rest):
-            raw, self.rest = self.rest[: end.end()], self.rest[end.end() :]
+        while end := _EVENT_END.search(self.remainder):
+            raw, self.remainder = self.remainder[: end.end()], self.remainder[end.end() :]
             found = _ID.search(raw)
             events.append(Event(found.group(1) if found else None, raw))
         return events
--- a/gladedrum/connections/messages.py
+++ b/gladedrum/connections/messages.py
@@ -39,7 +39,7 @@
     """
 
     method: bytes
-    target: bytes
+    path: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes
     arrived_s: float
--- a/gladedrum/connections/target_conn.py
+++ b/gladedrum/connections/target_conn.py
@@ -42,7 +42,7 @@
     """The method, path with query, and headers of a request to a target."""
 
     method: bytes
-    target: bytes
+    path: bytes
     headers: list[tuple[bytes, bytes]]
 
 
@@ -305,7 +305,7 @@
 
 def _encode_request(http: h11.Connection, head: RequestHead, body: bytes) -> bytes:
     """Encode a complete request with `http`; return the bytes to send."""
-    parts = [http.send(h11.Request(method=head.method, target=head.target, headers=head.headers))]
+    parts = [http.send(h11.Request(method=head.method, target=head.path, headers=head.headers))]
     if body:
         parts.append(http.send(h11.Data(data=body)))
     parts.append(http.send(h11.EndOfMessage()))
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -79,7 +79,7 @@
             return NotRun("no configuration is known yet", NO_CONFIGURATION_RETRY_S)
         metadata = parse_caller_headers(req.headers)
         host = dict(req.headers).get(b"host", b"").decode("latin-1")
-        route = table.find(host, req.target.decode("latin-1"))
+        route = table.find(host, req.path.decode("latin-1"))
         if route is None:
             return self._refuse_unknown("no route leads there", HTTPStatus.NOT_FOUND)
         if metadata.key is None:
--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -471,7 +471,7 @@
         )
         body_length = len(fwd.req.body) if fwd.req.has_body else None
         headers = forward_headers(fwd.req.headers, body_length, metadata)
-        return RequestHead(fwd.req.method, fwd.req.target, headers)
+        return RequestHead(fwd.req.method, fwd.req.path, headers)
 
     def _make_relay(self, attempt: Attempt) -> Relay:
         """Return the relay for the answer of an attempt."""
--- a/gladedrum/forward/identity.py
+++ b/gladedrum/forward/identity.py
@@ -32,7 +32,7 @@
     """
     host = dict(req.headers).get(b"host", b"").lower()
     digest = hashlib.sha256()
-    for part in (organisation.encode(), req.method, host, req.target, req.body):
+    for part in (organisation.encode(), req.method, host, req.path, req.body):
         digest.update(len(part).to_bytes(8))
         digest.update(part)
     return digest.digest()[:DIGEST_BYTES]
--- a/gladedrum/platform/store.py
+++ b/gladedrum/platform/store.py
@@ -150,7 +150,7 @@
 
     async def get(self, key: str) -> StoredItem | None:
         """Return one item, None if the key does not exist; raises `KVUnavailableError`."""
-        answer = await self._read(f"{wire.STORE_KEY}?key={quote(key, safe='')}")
+        answer = await self._read(f"{wire.STORE_KEY_PATH}?key={quote(key, safe='')}")
         if answer.status == HTTPStatus.NOT_FOUND:
             return None
         return _decode_item(answer.body, answer.era)
@@ -170,7 +170,7 @@
             query = f"pathPrefix={quote(prefix, safe='')}" + ("&stale=1" if stale else "")
             if after:
                 query += f"&afterRevision={quote(after, safe='')}"
-            answer = await self._read(f"{wire.STORE_RANGE}?{query}", timeout_s)
+            answer = await self._read(f"{wire.STORE_RANGE_PATH}?{query}", timeout_s)
             page = [_decode_item(row, answer.era) for row in answer.body.get("items", [])]
             items += page
             if first_page_revision is None:
@@ -197,7 +197,7 @@
         """
         self._require_same_era(after_revision)
         query = f"pathPrefix={quote(prefix, safe='')}&afterRevision={after_revision.number}"
-        path = f"{wire.STORE_WATCH}?{query}&waitMs={int(wait_s * 1000)}"
+        path = f"{wire.STORE_WATCH_PATH}?{query}&waitMs={int(wait_s * 1000)}"
         answer = await self._read(path, wait_s + _WATCH_GRACE_S)
         if answer.status == HTTPStatus.GONE:
             raise HistoryGoneError(f"no history after revision {after_revision.number}")
@@ -243,7 +243,7 @@
             ],
             "remove": list(removals),
         }
-        answer = await self._write("POST", wire.STORE_TRANSACTION, body)
+        answer = await self._write("POST", wire.STORE_TRANSACTION_PATH, body)
         if 0 < sent_era < answer.era:
             text = f"the store came back from a copy meanwhile, now in era {answer.era}"
             raise KVUnknownError(text)
@@ -267,13 +267,15 @@
 
     async def grant_lease(self, ttl_s: float) -> Lease:
         """Return a new lease of `ttl_s` seconds; raises as `transact` does."""
-        answer = await self._write("POST", wire.STORE_LEASE, {"ttl_ms": int(ttl_s * 1000)})
+        answer = await self._write(
+            "POST", wire.STORE_GRANT_LEASE_PATH, {"ttl_ms": int(ttl_s * 1000)}
+        )
         return Lease(answer.era, int(answer.body["lease"]))
 
     async def keep_lease(self, lease: Lease) -> None:
         """Renew a lease; raises `KVConflictError` if it has ended, else as `transact` does."""
         self._reject_earlier_eras((), lease)
-        await self._write("POST", f"{wire.STORE_KEEP}{lease.number}", None)
+        await self._write("POST", f"{wire.STORE_KEEP_LEASE_PATH}{lease.number}", None)
         # If the store was restored during the call, the number may belong to another holder.
         self._reject_earlier_eras((), lease)
 
@@ -283,7 +285,7 @@
         A lease of an earlier era has ended already, and its number may belong to another holder.
         """
         self._reject_earlier_eras((), lease)
-        await self._write("DELETE", f"{wire.STORE_LEASE_END}{lease.number}", None)
+        await self._write("DELETE", f"{wire.STORE_END_LEASE_PATH}{lease.number}", None)
 
     async def _read(self, path: str, timeout_s: float | None = None) -> _Answer:
         limit_s = CALL_TIMEOUT_S if timeout_s is None else timeout_s
--- a/gladedrum/platform/tests/test_wire_names.py
+++ b/gladedrum/platform/tests/test_wire_names.py
@@ -41,5 +41,5 @@
 
 def test_pattern_matches_known_names():
     assert _PLATFORM_NAMES.search(wire.REQUEST_ID.decode())
-    assert _PLATFORM_NAMES.search(wire.STORE_TRANSACTION)
+    assert _PLATFORM_NAMES.search(wire.STORE_TRANSACTION_PATH)
     assert _PLATFORM_NAMES.search(wire.TARGETS_PREFIX)
--- a/gladedrum/standins/store.py
+++ b/gladedrum/standins/store.py
@@ -147,7 +147,7 @@
             self._revision += 1
             self._record(key, None)
 
-    @app.route(wire.STORE_KEY, methods=["GET"])
+    @app.route(wire.STORE_KEY_PATH, methods=["GET"])
     async def read_key(self, request: Request) -> bytes:
         """Read one key."""
         refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
@@ -160,7 +160,7 @@
             return self._reply(request, {"at": self._revision}, 404)
         return self._reply(request, {**_row(key, entry), "at": self._revision})
 
-    @app.route(wire.STORE_RANGE, methods=["GET"])
+    @app.route(wire.STORE_RANGE_PATH, methods=["GET"])
     async def read_range(self, request: Request) -> bytes:
         """Read a page of the keys under a prefix."""
         refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
@@ -173,7 +173,7 @@
         more = len(keys) > PAGE_ITEMS
         return self._reply(request, {"items": rows, "more": more, "at": self._revision})
 
-    @app.route(wire.STORE_WATCH, methods=["GET"])
+    @app.route(wire.STORE_WATCH_PATH, methods=["GET"])
     async def watch(self, request: Request) -> bytes:
         """Wait for changes under a prefix."""
         refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
@@ -190,7 +190,7 @@
             events = self._events(prefix, after)
         return self._reply(request, {"events": events, "at": self._revision})
 
-    @app.route(wire.STORE_TRANSACTION, methods=["POST"])
+    @app.route(wire.STORE_TRANSACTION_PATH, methods=["POST"])
     async def transact(self, request: Request) -> bytes:
         """Do all or nothing, if the conditions hold."""
         body = json_body(request)
@@ -218,7 +218,7 @@
             request.transport.abortConnection()
         return self._reply(request, {"revision": self._revision})
 
-    @app.route(wire.STORE_LEASE, methods=["POST"])
+    @app.route(wire.STORE_GRANT_LEASE_PATH, methods=["POST"])
     async def grant(self, request: Request) -> bytes:
         """Grant a lease."""
         ttl_ms = json_body(request)["ttl_ms"]
@@ -229,7 +229,7 @@
         self._leases[lease] = (ttl_ms / 1000, self._clock.seconds() + ttl_ms / 1000)
         return self._reply(request, {"lease": lease, "ttl_ms": ttl_ms})
 
-    @app.route(f"{wire.STORE_KEEP}<int:lease>", methods=["POST"])
+    @app.route(f"{wire.STORE_KEEP_LEASE_PATH}<int:lease>", methods=["POST"])
     async def keep(self, request: Request, lease: int) -> bytes:
         """Renew a lease."""
         refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
@@ -241,7 +241,7 @@
         self._leases[lease] = (ttl_s, self._clock.seconds() + ttl_s)
         return self._reply(request, {"ttl_ms": int(ttl_s * 1000)})
 
-    @app.route(f"{wire.STORE_LEASE_END}<int:lease>", methods=["DELETE"])
+    @app.route(f"{wire.STORE_END_LEASE_PATH}<int:lease>", methods=["DELETE"])
     async def end(self, request: Request, lease: int) -> bytes:
         """End a lease and remove its keys."""
         refusal = await self._enter(request, self.calls.write_rate, self.switches.writes_per_s)
