--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -105,7 +105,7 @@
     configuration._confirm(clock.seconds())
     targets = TargetListFollower(clock, None, 3.0, lambda _entry: None, pace)
     targets.entries = entries
-    targets._read_s = clock.seconds()
+    targets._confirmed_s = clock.seconds()
     table = TableInForce(clock)
     follower = TableFollower(clock, None, table, lambda: True)
     coordinators = _SingleMemberGroup(name)
@@ -188,7 +188,7 @@
     else:
         entries[TOGGLED] = _entries(1)[TOGGLED]._replace(port=next(PORTS))
     targets.entries = entries
-    targets._read_s = read_s
+    targets._confirmed_s = read_s
 
 
 def main() -> None:
--- a/gladedrum/beliefs/target_list.py
+++ b/gladedrum/beliefs/target_list.py
@@ -89,7 +89,7 @@
         self._on_gone = on_gone
         self._pace = pace
         self._on_listed = on_listed
-        self._read_s = float("-inf")
+        self._confirmed_s = float("-inf")
         self._peer_list_s = float("-inf")
         self._grace_until_s = float("-inf")
         self._hold_until_s = float("-inf")
@@ -104,7 +104,7 @@
     @property
     def age_s(self) -> float:
         """Age of the list: seconds since the last confirming call was sent."""
-        return self._clock.seconds() - self._read_s
+        return self._clock.seconds() - self._confirmed_s
 
     @property
     def digest(self) -> str:
@@ -165,7 +165,7 @@
         """Follow the list until cancelled."""
         while True:
             sent_s = self._clock.seconds()
-            left_s = self._read_s + self._max_age_s - sent_s
+            left_s = self._confirmed_s + self._max_age_s - sent_s
             if left_s > 0:
                 await sleep(self._clock, left_s)
                 continue
@@ -195,7 +195,7 @@
         for entry in listed.values():
             if entry.leaving:
                 self.note_leaving(entry.name, entry.born)
-        known_s = max(self._read_s, self._peer_list_s)
+        known_s = max(self._confirmed_s, self._peer_list_s)
         if read_s <= known_s:
             return
         # Successive lists show that the store answers peers; only this box cannot reach it.
@@ -217,18 +217,18 @@
         return fraction * self._leave_bound_s
 
     def _note_confirmed(self, read_s: float) -> None:
-        self._read_s = max(self._read_s, read_s)
+        self._confirmed_s = max(self._confirmed_s, read_s)
         if not self._connected and self.age_s < self._max_age_s:
             _log.info("list of targets confirmed again", extra={"age_s": round(self.age_s, 3)})
             self._connected = True
 
     def _apply_read(self, listed: dict[str, TargetEntry], sent_s: float) -> None:
-        late = sent_s - self._read_s > self._max_age_s + OUTAGE_THRESHOLD_S
+        late = sent_s - self._confirmed_s > self._max_age_s + OUTAGE_THRESHOLD_S
         if self.entries and (late or not self._connected):
             self._note_outage()
             _log.info("list of targets read again", extra={"targets": len(listed)})
         self._connected = True
-        self._read_s = max(self._read_s, sent_s)
+        self._confirmed_s = max(self._confirmed_s, sent_s)
         if self._clock.seconds() < self._hold_until_s:
             listed = {n: entry for n, entry in listed.items() if not self._is_known_gone(entry)}
         for name in listed:
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -51,7 +51,7 @@
             try:
                 return await call(*args, **kwargs)
             finally:
-                if not self._store.away:
+                if not self._store.unavailable:
                     self._note_era()
 
         return answered
@@ -73,11 +73,11 @@
         self.clock = clock
         self.calls: Counter[str] = Counter()
         self.listed: Counter[str] = Counter()
-        self.away = False
+        self.unavailable = False
         self.revision = 0
         self._items: dict[str, StoredItem] = {}
         self._lease_of: dict[str, Lease | None] = {}
-        self._until_s: dict[Lease, float] = {}
+        self._expires_s: dict[Lease, float] = {}
         self._ttl_s: dict[Lease, float] = {}
         self._next_lease = 1
         self.era = 1
@@ -85,7 +85,7 @@
         self._changed: defer.Deferred[None] = defer.Deferred()
 
     def keep_copy(self) -> None:
-        rows = self._items, self._lease_of, self._until_s, self._ttl_s
+        rows = self._items, self._lease_of, self._expires_s, self._ttl_s
         self._copy = self.revision, self._next_lease, [dict(row) for row in rows]
 
     def go_back(self) -> None:
@@ -96,7 +96,7 @@
             if key.startswith((wire.CONFIGURATION_PREFIX, wire.TARGETS_PREFIX))
         }
         self.revision, self._next_lease, rows = self._copy
-        self._items, self._lease_of, self._until_s, self._ttl_s = (dict(row) for row in rows)
+        self._items, self._lease_of, self._expires_s, self._ttl_s = (dict(row) for row in rows)
         self.era += 1
         for key, value in written.items():
             self.write(key, value)
@@ -144,19 +144,19 @@
         await self._call("grant")
         lease, self._next_lease = Lease(self.era, self._next_lease), self._next_lease + 1
         self._ttl_s[lease] = ttl_s
-        self._until_s[lease] = self.clock.seconds() + ttl_s
+        self._expires_s[lease] = self.clock.seconds() + ttl_s
         return lease
 
     async def keep_lease(self, lease):
         await self._call("keep")
         self._drop_expired()
-        if lease not in self._until_s:
+        if lease not in self._expires_s:
             raise KVConflictError("the lease has ended")
-        self._until_s[lease] = self.clock.seconds() + self._ttl_s[lease]
+        self._expires_s[lease] = self.clock.seconds() + self._ttl_s[lease]
 
     async def end_lease(self, lease):
         await self._call("end")
-        self._until_s.pop(lease, None)
+        self._expires_s.pop(lease, None)
         self._drop_expired()
 
     async def transact(self, _conditions, puts, removals=(), lease=None):
@@ -171,14 +171,14 @@
     async def _call(self, kind: str) -> None:
         self.calls[kind] += 1
         await sleep(self.clock, CALL_S)
-        if self.away:
+        if self.unavailable:
             raise KVUnavailableError("unavailable")
 
     def _drop_expired(self) -> None:
         now_s = self.clock.seconds()
-        self._until_s = {lease: s for lease, s in self._until_s.items() if s > now_s}
+        self._expires_s = {lease: s for lease, s in self._expires_s.items() if s > now_s}
         for key, lease in list(self._lease_of.items()):
-            if lease and lease not in self._until_s:
+            if lease and lease not in self._expires_s:
                 del self._items[key], self._lease_of[key]
                 self.revision += 1
 
@@ -229,7 +229,7 @@
             fleet.clock,
             self.beliefs.coordinators.recipients,
             lambda: [entry.address for entry in registry.entries.values()],
-            self._take,
+            self._receive,
             capacity,
         )
         self.port.transport = SimpleNamespace(write=self._send)
@@ -284,7 +284,7 @@
             DATAGRAM_DELAY_S, self.fleet.deliver, data, self.address, address
         )
 
-    def _take(self, received, address) -> None:
+    def _receive(self, received, address) -> None:
         if is_shutdown_notice(received):
             self.beliefs.registry.note_ended(received.box, address)
             return
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -81,7 +81,7 @@
 
 
 def test_a_box_that_starts_in_an_outage_gets_its_state_from_peers(fleet):
-    fleet.store.away = True
+    fleet.store.unavailable = True
     fleet.run(1.0)
     box = fleet.start(BOXES + 1)
     fleet.run(0.1)
@@ -92,11 +92,11 @@
 def test_boxes_that_start_in_an_outage_do_not_assume_that_they_are_alone():
     """Thundering herd: otherwise every box reads the load of all engines after a power failure."""
     fleet = VirtualFleet(0)
-    fleet.store.away = True
+    fleet.store.unavailable = True
     for number in range(20):
         fleet.start(number)
     fleet.run(8.0)
-    fleet.store.away = False
+    fleet.store.unavailable = False
     beliefs = [box.beliefs for box in fleet.boxes.values()]
     for _ in range(15):
         fleet.run(0.1)
@@ -124,12 +124,12 @@
 
 
 def test_after_an_outage_all_boxes_are_current_within_half_a_second(fleet):
-    fleet.store.away = True
+    fleet.store.unavailable = True
     calls = calls_within(fleet, 8.0)
     # Four members retry five times a second, the others once in three seconds.
     assert calls["list op"] + calls["list servers"] <= 9 * BOXES
     assert not any(box.beliefs.configuration.is_current for box in fleet.boxes.values())
-    fleet.store.away = False
+    fleet.store.unavailable = False
     fleet.run(0.6)
     assert all(box.beliefs.configuration.is_current for box in fleet.boxes.values())
 
--- a/gladedrum/beliefs/tests/test_leaving.py
+++ b/gladedrum/beliefs/tests/test_leaving.py
@@ -123,7 +123,7 @@
     """The entry remains if the store is unavailable when the box ends."""
     box = stopping(fleet)
     fleet.run(DRAIN_S)
-    fleet.store.away = True
+    fleet.store.unavailable = True
     box.end()
     for _ in range(20):
         fleet.run(0.5)
--- a/gladedrum/beliefs/tests/test_peer_sync.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -71,7 +71,7 @@
     configuration._confirm(read_s)
     listed = TargetListFollower(clock, NoFeed(), 2.0, lambda _entry: None, pace)
     listed.entries = {n: TargetEntry(n, "s", "10.0.0.1", 1, "h", 1, False) for n in targets}
-    listed._read_s = read_s
+    listed._confirmed_s = read_s
     wire = Wire()
     table = TableInForce(clock)
     follower = TableFollower(clock, None, table, lambda: not is_member)
@@ -176,7 +176,7 @@
     new = TargetEntry("t99", "s", "10.0.0.1", 1, "h", 1, False)
     leaving = kept["t05"]._replace(leaving=True)
     member._targets.entries = {**kept, "t05": leaving, "t99": new}
-    member._targets._read_s = clock.seconds()
+    member._targets._confirmed_s = clock.seconds()
     wire.asks.clear(), member_wire.notes.clear()
     exchange(clock, asker, wire, member, member_wire)
     assert [len(part.rows) for part in member_wire.list_parts] == [2]
@@ -191,7 +191,7 @@
     asker, wire = box(clock, False, 3, read_s=5.0, targets=("t1", "t2"))
     exchange(clock, asker, wire, member, member_wire)
     member._targets.entries = {"t1": member._targets.entries["t1"]}
-    member._targets._read_s = clock.seconds() + 1.0
+    member._targets._confirmed_s = clock.seconds() + 1.0
     wire.asks.clear()
     asker._ask()
     member.receive(Gossip("a", vouch_asks=wire.asks), ("10.0.0.2", 2))
@@ -363,7 +363,7 @@
     seed._registry.revision = Revision(0, 7)
     fresh, wire = box(clock, False, 0, read_s=0.0, targets=())
     fresh._configuration.table, fresh._configuration._feed = None, JsonFeed()
-    fresh._targets._read_s = fresh._configuration._confirmed_s = float("-inf")
+    fresh._targets._confirmed_s = fresh._configuration._confirmed_s = float("-inf")
     fresh._seeds = [("10.0.0.3", 3)]
     start(fresh.run())
     seed.receive(Gossip("a", vouch_asks=wire.asks[:1]), ("10.0.0.2", 2))
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -48,8 +48,8 @@
         for box in self.fleet.boxes.values():
             box.view.note_refused(target, "somebody", self.fleet.clock.seconds())
 
-    def _take(self, told, address):
-        super()._take(told, address)
+    def _receive(self, told, address):
+        super()._receive(told, address)
         self.losses.receive(told)
 
 
@@ -137,11 +137,11 @@
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
-    fleet.store.away = True
+    fleet.store.unavailable = True
     fleet.restart_all()
     fleet.run(5.0)
     assert set(fleet.standings()) == {Standing.CLEAR}
-    fleet.store.away = False
+    fleet.store.unavailable = False
     fleet.run(KNOWN_WITHIN_S)
     assert set(fleet.standings()) == {Standing.CONDEMNED}
 
@@ -164,7 +164,7 @@
     fleet = SuspectingFleet()
     fleet.condemn()
     fleet.run(1.0)
-    leases = [until_s - fleet.clock.seconds() for until_s in fleet.store._until_s.values()]
+    leases = [until_s - fleet.clock.seconds() for until_s in fleet.store._expires_s.values()]
     assert max(leases) == pytest.approx(LOSS_RETENTION_S, abs=2.0)
 
 
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -42,8 +42,8 @@
     def suspects(self):
         return {e for e in self.beliefs.targets.entries if self.view.state(e).is_suspect}
 
-    def _take(self, told, address):
-        super()._take(told, address)
+    def _receive(self, told, address):
+        super()._receive(told, address)
         known = self.beliefs.targets.entries.keys()
         self.view.receive(told, known, self.fleet.clock.seconds())
 
