--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -275,7 +275,7 @@
     def _finish(self) -> AttemptEnd:
         if self._head.status != HTTPStatus.OK:
             return FailedAnswer(self._head, b"".join(self._failure))
-        remainder = self._splitter.rest
+        remainder = self._splitter.remainder
         if remainder and not _is_framed(self._head):
             return Lost("the stream ends within an event")
         self._note_progress()
