--- a/gladedrum/claims/buckets.py
+++ b/gladedrum/claims/buckets.py
@@ -46,7 +46,7 @@
         The request that holds the key.
     box : str
         The box that runs that request.
-    body : str
+    body_digest : str
         Digest of the request's content; detects reuse of the key for a different request.
     state : ClaimState
         Last recorded state of the request.
@@ -56,7 +56,7 @@
 
     request_id: str
     box: str
-    body: str
+    body_digest: str
     state: ClaimState
     at_s: float
 
@@ -143,8 +143,8 @@
         if current is None or current.sealed:
             number, current = number + 1, Bucket(opened_s=now_s)
         claims = dict(current.claims)
-        answers = [self._apply_one(operation, claims) for operation in operations]
-        return number, Bucket(claims, current.opened_s), answers
+        results = [self._apply_one(operation, claims) for operation in operations]
+        return number, Bucket(claims, current.opened_s), results
 
     def _apply_one(
         self, operation: ClaimKey | RecordOutcome, claims: dict[str, Claim]
--- a/gladedrum/claims/core.py
+++ b/gladedrum/claims/core.py
@@ -23,8 +23,8 @@
     "CLAIM_SHARDS",
     "Acquired",
     "AlreadyClaimed",
-    "ClaimAnswer",
     "ClaimFailed",
+    "ClaimResult",
     "Claims",
     "DifferentBody",
 ]
@@ -39,7 +39,7 @@
 )  # fmt: skip
 
 _PREFIX = "gladedrum/claims"
-_RECORD_MIN_BACKOFF_S, _RECORD_MAX_BACKOFF_S = 0.2, 15.0
+_RECORD_FIRST_DELAY_S, _RECORD_MAX_DELAY_S = 0.2, 15.0
 _MAX_RECORD_ATTEMPTS = 200
 # A UUID of version 7 starts with a Unix timestamp in milliseconds.
 _TIMESTAMPED_UUID_VERSION = 7
@@ -74,7 +74,7 @@
     reason: str
 
 
-ClaimAnswer = Acquired | AlreadyClaimed | DifferentBody | ClaimFailed
+ClaimResult = Acquired | AlreadyClaimed | DifferentBody | ClaimFailed
 """The possible results of `Claims.acquire`."""
 
 
@@ -90,7 +90,7 @@
     kv : StoreClient
         Client of the key-value service.
     clock : IReactorTime
-        Timer for backoff and timeouts.
+        Timer for retry delays and timeouts.
     box : str
         Name of this box.
     now_s : callable
@@ -119,7 +119,7 @@
 
     async def acquire(
         self, organisation: str, key: str, body: bytes, request_id: str
-    ) -> ClaimAnswer:
+    ) -> ClaimResult:
         """Claim a key for a request.
 
         Parameters
@@ -136,16 +136,16 @@
         digest = _digest(organisation, key)
         claim = self._claim(request_id, body, ClaimState.RUNNING)
         try:
-            answer = await self._shard(digest).submit(ClaimKey(digest, claim))
+            result = await self._shard(digest).submit(ClaimKey(digest, claim))
         except (KVUnavailableError, KVUnknownError) as exc:
             if isinstance(exc, KVUnknownError):
                 # The claim may have been written. Record that its request never runs.
                 self.record_outcome(organisation, key, body, request_id, NotRun("not claimed"))
             return ClaimFailed(f"the key could not be claimed: {exc}")
-        match answer:
+        match result:
             case Applied():
                 return Acquired()
-            case HeldByOther(claim=other) if other.body != claim.body:
+            case HeldByOther(claim=other) if other.body_digest != claim.body_digest:
                 return DifferentBody()
             case HeldByOther(claim=other):
                 return AlreadyClaimed(other)
@@ -179,9 +179,7 @@
                 await self._shard(digest).submit(RecordOutcome(digest, claim))
                 return
             except (KVUnavailableError, KVUnknownError):
-                pause_s = backoff_s(
-                    attempt, _RECORD_MIN_BACKOFF_S, _RECORD_MAX_BACKOFF_S, self._rng
-                )
+                pause_s = backoff_s(attempt, _RECORD_FIRST_DELAY_S, _RECORD_MAX_DELAY_S, self._rng)
                 await sleep(self._clock, pause_s)
         _log.error(
             "outcome of a claimed request not recorded", extra={"request_id": claim.request_id}
@@ -195,8 +193,8 @@
         return self._shards[int(digest[:8], 16) % len(self._shards)]
 
     def _is_too_old(self, key: str) -> bool:
-        made_s = _creation_time_s(key)
-        return made_s is not None and self._now_s() - made_s > self._retention_s
+        created_s = _creation_time_s(key)
+        return created_s is not None and self._now_s() - created_s > self._retention_s
 
 
 def _digest(organisation: str, key: str) -> str:
--- a/gladedrum/claims/shard.py
+++ b/gladedrum/claims/shard.py
@@ -37,8 +37,8 @@
         Age of its newest claim at which a sealed bucket is deleted, in seconds.
     """
 
-    bucket_claims: int = 512
-    bucket_s: float = 300.0
+    max_bucket_claims: int = 512
+    max_bucket_age_s: float = 300.0
     retention_s: float = 86_400.0
 
 
@@ -84,12 +84,12 @@
             Fires with the result. Fails with `KVUnavailableError` if the operation certainly had
             no effect, and with `KVUnknownError` if it may have had one.
         """
-        answer: defer.Deferred[Applied | HeldByOther] = defer.Deferred()
-        self._pending.append((operation, answer))
+        result: defer.Deferred[Applied | HeldByOther] = defer.Deferred()
+        self._pending.append((operation, result))
         if not self._writing:
             self._writing = True
             start(self._write_batches())
-        return answer
+        return result
 
     async def _write_batches(self) -> None:
         try:
@@ -104,19 +104,19 @@
     ) -> None:
         operations = [operation for operation, _ in batch]
         try:
-            answers = await self._write(operations)
+            results = await self._write(operations)
         except (KVUnavailableError, KVUnknownError) as exc:
             self._state = None
             _fail(batch, exc)
             return
         except Exception as exc:
             # An internal error must fail the callers too, or they would wait forever.
-            _log.exception("claims not written", extra={"shard": self._prefix})
+            _log.exception("internal error while writing claims", extra={"shard": self._prefix})
             self._state = None
             _fail(batch, KVUnknownError(f"a fault in writing claims: {exc!r}"))
             return
-        for (_, waiting), answer in zip(batch, answers, strict=True):
-            waiting.callback(answer)
+        for (_, deferred), result in zip(batch, results, strict=True):
+            deferred.callback(result)
 
     async def _write(
         self, operations: list[ClaimKey | RecordOutcome]
@@ -126,13 +126,13 @@
         for _ in range(_MAX_WRITE_ATTEMPTS):
             try:
                 await self._load_and_rotate()
-                number, bucket, answers = self._state.apply(operations, self._now_s())
+                number, bucket, results = self._state.apply(operations, self._now_s())
                 if bucket == self._state.buckets.get(number):
                     # Nothing to write: other requests hold the keys, or an earlier write whose
                     # response was lost did take effect.
-                    return answers
+                    return results
                 await self._swap(number, bucket)
-                return answers
+                return results
             except KVConflictError:
                 self._state = None
             except KVUnknownError as exc:
@@ -145,7 +145,7 @@
         raise in_doubt or KVUnavailableError("too many others write the same claims")
 
     async def _load_and_rotate(self) -> None:
-        """Read the shard if it is not cached, and seal the newest bucket if it is full."""
+        """Read the shard if it is not cached; seal the newest bucket if it is full or too old."""
         if self._state is None:
             rows = await self._kv.get_prefix(self._prefix)
             self._revisions = {_bucket_number(key): row.revision for key, row in rows.items()}
@@ -153,14 +153,16 @@
                 {_bucket_number(key): _decode(row.value) for key, row in rows.items()}
             )
         newest = self._state.buckets.get(self._state.newest)
-        if newest is None or newest.sealed or not self._is_full(newest):
+        if newest is None or newest.sealed or not self._must_seal(newest):
             return
         await self._swap(self._state.newest, Bucket(newest.claims, newest.opened_s, sealed=True))
-        await self._drop_old()
+        await self._delete_expired()
 
-    def _is_full(self, bucket: Bucket) -> bool:
-        too_old = self._now_s() - bucket.opened_s >= self._limits.bucket_s
-        return bool(bucket.claims) and (too_old or len(bucket.claims) >= self._limits.bucket_claims)
+    def _must_seal(self, bucket: Bucket) -> bool:
+        too_old = self._now_s() - bucket.opened_s >= self._limits.max_bucket_age_s
+        return bool(bucket.claims) and (
+            too_old or len(bucket.claims) >= self._limits.max_bucket_claims
+        )
 
     async def _swap(self, number: int, bucket: Bucket) -> None:
         expected = self._revisions.get(number, ABSENT)
@@ -168,11 +170,11 @@
         self._revisions[number] = revision
         self._state = ShardState({**self._state.buckets, number: bucket})
 
-    async def _drop_old(self) -> None:
-        oldest_s = self._now_s() - self._limits.retention_s
+    async def _delete_expired(self) -> None:
+        cutoff_s = self._now_s() - self._limits.retention_s
         for number, bucket in list(self._state.buckets.items()):
-            newest_s = max((c.at_s for c in bucket.claims.values()), default=bucket.opened_s)
-            if not bucket.sealed or number == self._state.newest or newest_s > oldest_s:
+            last_claim_s = max((c.at_s for c in bucket.claims.values()), default=bucket.opened_s)
+            if not bucket.sealed or number == self._state.newest or last_claim_s > cutoff_s:
                 return
             try:
                 await self._kv.delete(self._key(number), self._revisions[number])
@@ -191,8 +193,8 @@
     batch: list[tuple[ClaimKey | RecordOutcome, defer.Deferred[Applied | HeldByOther]]],
     exc: Exception,
 ) -> None:
-    for _, waiting in batch:
-        waiting.errback(exc)
+    for _, deferred in batch:
+        deferred.errback(exc)
 
 
 def _bucket_number(key: str) -> int:
--- a/gladedrum/claims/tests/test_interleavings.py
+++ b/gladedrum/claims/tests/test_interleavings.py
@@ -69,13 +69,13 @@
         self._given, self.taken = given, []
 
     def choose(self, options):
-        place = len(self.taken)
-        index = self._given[place] if place < len(self._given) else 0
+        depth = len(self.taken)
+        index = self._given[depth] if depth < len(self._given) else 0
         self.taken.append((index, options))
         return index
 
 
-def _take(box):
+def _claim_key(box):
     claim = Claim(f"request-{box}", box, "body", ClaimState.RUNNING, 0.0)
     return ClaimKey(_KEY, claim)
 
@@ -94,7 +94,7 @@
                 shards[box].submit(RecordOutcome(_KEY, recorded)).addErrback(lambda _f: None)
 
     for box in boxes:
-        answer = shards[box].submit(_take(box))
+        answer = shards[box].submit(_claim_key(box))
         answer.addCallbacks(answered, lambda _failure: None, callbackArgs=(box,))
     while kv.pending and len(path.taken) < 60:
         kv.pending = [call for call in kv.pending if call[0] not in crashed]
@@ -103,19 +103,19 @@
         call = kv.pending[path.choose(len(kv.pending))]
         kv.pending.remove(call)
         box, kind, args, answer = call
-        fates = ["works"]
+        events = ["success"]
         if faults < max_faults:
-            fates += ["unavailable", "box crashes before", "box crashes after"]
-            fates += ["answer lost", "call lost"] if kind == "swap" else []
-        fate = fates[path.choose(len(fates))]
-        faults += fate != "works"
-        if fate == "unavailable":
+            events += ["unavailable", "crash before effect", "crash after effect"]
+            events += ["response lost", "call lost"] if kind == "swap" else []
+        event = events[path.choose(len(events))]
+        faults += event != "success"
+        if event == "unavailable":
             answer.errback(KVUnavailableError(kind))
             continue
-        if fate == "call lost":
+        if event == "call lost":
             answer.errback(KVUnknownError(kind))
             continue
-        if fate == "box crashes before":
+        if event == "crash before effect":
             crashed.add(box)
             continue
         try:
@@ -123,9 +123,9 @@
         except KVConflictError as exc:
             answer.errback(exc)
             continue
-        if fate == "answer lost":
+        if event == "response lost":
             answer.errback(KVUnknownError(kind))
-        elif fate == "box crashes after":
+        elif event == "crash after effect":
             crashed.add(box)
         else:
             answer.callback(result)
@@ -133,17 +133,17 @@
 
 
 def _explore(boxes, max_faults, limits, outcome_state=None, bound=60_000):
-    """Run every path of choices, depth first; yield the boxes that acquired the key."""
-    outcomes, runs, given = Counter(), 0, []
+    """Run the paths of choices depth first, up to `bound`; yield the boxes that got the key."""
+    runs_by_holders, runs, given = Counter(), 0, []
     while True:
         taken, held = _run(given, boxes, max_faults, limits, outcome_state)
         runs += 1
-        outcomes[len(held)] += 1
+        runs_by_holders[len(held)] += 1
         yield held
         while taken and taken[-1][0] + 1 >= taken[-1][1]:
             taken.pop()
         if not taken or runs >= bound:
-            print(f"{runs} paths, {dict(outcomes)} by the number of holders")
+            print(f"{runs} paths, {dict(runs_by_holders)} by the number of holders")
             return
         given = [index for index, _ in taken]
         given[-1] += 1
@@ -153,8 +153,8 @@
     ("boxes", "max_faults", "limits"),
     [
         (("a", "b"), 2, ShardLimits()),
-        (("a", "b"), 2, ShardLimits(bucket_claims=1)),
-        (("a", "b", "c"), 0, ShardLimits(bucket_claims=1)),
+        (("a", "b"), 2, ShardLimits(max_bucket_claims=1)),
+        (("a", "b", "c"), 0, ShardLimits(max_bucket_claims=1)),
     ],
 )
 def test_a_key_is_held_at_most_once(boxes, max_faults, limits):
@@ -163,7 +163,7 @@
 
 
 def test_a_key_that_completed_is_never_held_again():
-    limits = ShardLimits(bucket_claims=1)
+    limits = ShardLimits(max_bucket_claims=1)
     for held in _explore(("a", "b"), 1, limits, outcome_state=ClaimState.COMPLETED):
         assert len(held) <= 1, held
 
@@ -176,5 +176,5 @@
     assert holders == {1, 2}
 
 
-def test_without_faults_somebody_holds_the_key():
-    assert all(len(held) == 1 for held in _explore(("a", "b"), 0, ShardLimits(bucket_claims=1)))
+def test_without_faults_one_box_holds_the_key():
+    assert all(len(held) == 1 for held in _explore(("a", "b"), 0, ShardLimits(max_bucket_claims=1)))
--- a/gladedrum/entry/attempt.py
+++ b/gladedrum/entry/attempt.py
@@ -32,12 +32,12 @@
 
 __all__ = ["Attempt", "AttemptContext", "Sink"]
 
-_MAX_CANCEL_ATTEMPTS = 5
-_CANCEL_MIN_BACKOFF_S, _CANCEL_MAX_BACKOFF_S = 0.2, 5.0
+_MAX_CANCELS = 5
+_CANCEL_FIRST_DELAY_S, _CANCEL_MAX_DELAY_S = 0.2, 5.0
 
-_MAX_RESUME_ATTEMPTS = 5
-_RESUME_MIN_BACKOFF_S, _RESUME_MAX_BACKOFF_S = 0.1, 1.0
-"""Backoff between resumes that yield no token, in seconds. An engine that
+_MAX_RESUMES = 5
+_RESUME_FIRST_DELAY_S, _RESUME_MAX_DELAY_S = 0.1, 1.0
+"""Delays between resumes that yield no token, in seconds. An engine that
 accepts connections again within a second still has the session."""
 
 
@@ -60,16 +60,17 @@
     box : str
         Name of this box.
     clock : IReactorTime
-        Timer for backoff.
+        Timer for retry delays.
     web : WebClient
         HTTP client for calls to the targets.
     placer : Placer
         Releases the reservations.
     own_sessions : set of str
-        Ids of the sessions that this box waits for.
+        Ids of the sessions that this box waits for, and of its running requests that hold an
+        idempotency key.
     rng : random.Random
-        Source of backoff jitter.
-    life : Lifecycle
+        Source of jitter for retry delays.
+    lifecycle : Lifecycle
         State machine of the request.
     sink : Sink
         Receiver of the answer.
@@ -79,7 +80,7 @@
         Returns the number of answer tokens received so far.
     on_pieces, on_dropped : callable
         Called with the pieces of each chunk, and with the reason for each dropped piece.
-    on_trouble : callable
+    on_target_failure : callable
         Called with the reservation and the exception when a target fails.
     """
 
@@ -89,7 +90,7 @@
     placer: Placer
     own_sessions: set[str]
     rng: random.Random
-    life: Lifecycle
+    lifecycle: Lifecycle
     sink: Sink
     time_left_s: Callable[[], float]
     offset: Callable[[], int]
@@ -105,7 +106,7 @@
     ----------
     ctx : AttemptContext
         State common to all attempts of the request.
-    parts : tuple of Reservation
+    reservations : tuple of Reservation
         The reservations, in the order of the segments.
     model, prompt : str
         Model and whole prompt.
@@ -118,44 +119,44 @@
     def __init__(
         self,
         ctx: AttemptContext,
-        parts: tuple[Reservation, ...],
+        reservations: tuple[Reservation, ...],
         model: str,
         prompt: str,
         max_tokens: int,
         may_repeat: bool,
     ):
         self._ctx = ctx
-        self._parts = parts
-        self._segment_prompts = split_prompt(prompt, [p.job.prompt_tokens for p in parts])
+        self._reservations = reservations
+        self._segment_prompts = split_prompt(prompt, [r.job.prompt_tokens for r in reservations])
         self._model = model
         self._max_tokens = max_tokens
         self._may_repeat = may_repeat
-        self._engines = [EngineClient(p.target.url, ctx.web) for p in parts]
+        self._engines = [EngineClient(r.target.url, ctx.web) for r in reservations]
         self._held: list[HeldStream] = []
-        ctx.own_sessions.update(p.job.job_id for p in parts)
+        ctx.own_sessions.update(r.job.job_id for r in reservations)
 
     @property
     def last(self) -> Reservation:
         """The reservation on the target that generates the answer."""
-        return self._parts[-1]
+        return self._reservations[-1]
 
     async def run(self, span: Span) -> Outcome | None:
         """Run the attempt; return None if the request may be retried on other targets."""
         number = 0
         try:
-            for number in range(len(self._parts) - 1):
+            for number in range(len(self._reservations) - 1):
                 await self._hold(number, span)
-            number = len(self._parts) - 1
+            number = len(self._reservations) - 1
             stream = await self._open(span)
         except (TargetUnreachableError, TargetRefusedError) as exc:
-            self._ctx.on_target_failure(self._parts[number], exc)
+            self._ctx.on_target_failure(self._reservations[number], exc)
             return await self._after_not_started(number, exc)
         except TargetBrokenError as exc:
-            self._ctx.on_target_failure(self._parts[number], exc)
-            must_resume = number == len(self._parts) - 1 and not self._may_repeat
-            resumed, _ = await self._resume_within(0) if must_resume else (None, 0)
+            self._ctx.on_target_failure(self._reservations[number], exc)
+            must_resume = number == len(self._reservations) - 1 and not self._may_repeat
+            resumed, _ = await self._resume_with_retries(0) if must_resume else (None, 0)
             if resumed is None:
-                return await self._after_connection_loss(str(exc))
+                return await self._after_failure(str(exc))
             stream = resumed
         return await self._read(stream)
 
@@ -163,9 +164,9 @@
         """Cancel the sessions on all targets, and release the reservations."""
         for held in self._held:
             held.abort()
-        for engine, part in zip(self._engines, self._parts, strict=True):
-            await self._cancel_with_retries(engine, part)
-            self._release(part)
+        for engine, reservation in zip(self._engines, self._reservations, strict=True):
+            await self._cancel_with_retries(engine, reservation)
+            self._release(reservation)
 
     def release(self) -> None:
         """Release the reservation of a session that has ended by itself."""
@@ -174,39 +175,41 @@
     @property
     def is_segmented(self) -> bool:
         """True if earlier segments are held on other targets."""
-        return len(self._parts) > 1
+        return len(self._reservations) > 1
 
     # Start of sessions.
 
     async def _hold(self, number: int, span: Span) -> None:
         """Prefill a segment and wait until its engine holds it."""
-        self._ctx.life.send()
+        self._ctx.lifecycle.send()
         req = self._request(number, span)
         held = await self._engines[number].hold(req, self._ctx.time_left_s())
         await self._wait_while_held(held.held)
         self._held.append(held)
-        self._ctx.placer.first_token(self._parts[number])
+        self._ctx.placer.first_token(self._reservations[number])
 
     async def _open(self, span: Span) -> AnswerStream:
-        self._ctx.life.send()
-        req = self._request(len(self._parts) - 1, span)
+        self._ctx.lifecycle.send()
+        req = self._request(len(self._reservations) - 1, span)
         return await self._engines[-1].open(
             req, self._ctx.on_pieces, self._ctx.on_dropped, self._ctx.time_left_s()
         )
 
     def _request(self, number: int, span: Span) -> EngineRequest:
-        part = self._parts[number]
-        context = tuple(SegmentLocation(p.target.url, p.job.job_id) for p in self._parts[:number])
+        reservation = self._reservations[number]
+        context = tuple(
+            SegmentLocation(r.target.url, r.job.job_id) for r in self._reservations[:number]
+        )
         return EngineRequest(
-            session_id=part.job.job_id,
+            session_id=reservation.job.job_id,
             model=self._model,
             prompt=self._segment_prompts[number],
             max_tokens=self._max_tokens,
-            priority=part.priority,
+            priority=reservation.priority,
             owner=self._ctx.box,
             offset=self._ctx.offset(),
             traceparent=header_of_span(span),
-            start_tokens=part.job.start_tokens,
+            start_tokens=reservation.job.start_tokens,
             context=context,
         )
 
@@ -218,30 +221,30 @@
             self._ctx.sink.attach(stream)
             try:
                 await self._wait_while_held(stream.ended)
-                self._ctx.life.finish()
+                self._ctx.lifecycle.finish()
                 return Completed()
             except TargetBrokenError as exc:
                 stream.abort()
                 self._ctx.on_target_failure(self.last, exc)
                 if broken_offset != self._ctx.offset():
                     resumes, broken_offset = 0, self._ctx.offset()
-                resumed, resumes = await self._resume_within(resumes)
+                resumed, resumes = await self._resume_with_retries(resumes)
                 if resumed is None:
-                    return await self._after_connection_loss(str(exc))
+                    return await self._after_failure(str(exc))
                 stream = resumed
 
-    async def _resume_within(self, resumes: int) -> tuple[AnswerStream | None, int]:
+    async def _resume_with_retries(self, resumes: int) -> tuple[AnswerStream | None, int]:
         """Resume the session, given the number of resumes since the last token.
 
         Returns the stream and the new number of resumes. The stream is None if the session is gone,
         an earlier segment is lost, or the limit is reached: one resume if the request may be
-        repeated on another target, else `_MAX_RESUME_ATTEMPTS`, since giving up fails the request.
+        repeated on another target, else `_MAX_RESUMES`, since giving up fails the request.
         """
-        max_resumes = 1 if self._may_repeat else _MAX_RESUME_ATTEMPTS
+        max_resumes = 1 if self._may_repeat else _MAX_RESUMES
         while resumes < max_resumes and not self._segment_lost():
             if resumes:
                 pause_s = backoff_s(
-                    resumes, _RESUME_MIN_BACKOFF_S, _RESUME_MAX_BACKOFF_S, self._ctx.rng
+                    resumes, _RESUME_FIRST_DELAY_S, _RESUME_MAX_DELAY_S, self._ctx.rng
                 )
                 await sleep(self._ctx.clock, pause_s)
             resumes += 1
@@ -266,6 +269,7 @@
         except defer.FirstError as exc:
             raise exc.subFailure.value from exc
         if index > 0:
+            # `HeldStream.lost` fires with the exception as its result.
             raise result
 
     async def _resume(self) -> AnswerStream:
@@ -285,40 +289,43 @@
     async def _after_not_started(self, number: int, exc: Exception) -> Outcome | None:
         """Handle a target that did not start its segment; earlier segments may have run."""
         if number == 0:
-            self._ctx.life.not_started()
+            self._ctx.lifecycle.not_started()
             return None
-        return await self._after_connection_loss(str(exc))
+        return await self._after_failure(str(exc))
 
-    async def _after_connection_loss(self, reason: str) -> Outcome | None:
-        """Return the outcome after a lost connection; None if the request may be retried."""
-        started = [await self._started(n) for n in range(len(self._parts))]
+    async def _after_failure(self, reason: str) -> Outcome | None:
+        """Return the outcome after a target failed; None if the request may be retried."""
+        started = [await self._cancel_and_check_started(n) for n in range(len(self._reservations))]
         if not any(started):
-            self._ctx.life.not_started()
+            self._ctx.lifecycle.not_started()
             return None
-        self._ctx.life.in_doubt()
+        self._ctx.lifecycle.in_doubt()
         # Repeating a prefill is harmless. Only the last target produces an answer.
         if not started[-1] or self._may_repeat:
             return None
-        match self._ctx.life.outcome_if_ended(reason):
+        match self._ctx.lifecycle.outcome_if_ended(reason):
             case Failed(reason=why):
                 return Failed(why, HTTPStatus.BAD_GATEWAY)
             case outcome:
                 return outcome
 
-    async def _started(self, number: int) -> bool:
-        """Cancel a segment; return False only if its target confirms it never started it."""
-        if number < len(self._parts) - 1 and number >= len(self._held):
+    async def _cancel_and_check_started(self, number: int) -> bool:
+        """Cancel a segment; return True if its target may have started it.
+
+        Earlier segments that are not held count as not started, and are not cancelled here.
+        """
+        if number < len(self._reservations) - 1 and number >= len(self._held):
             return False
         try:
-            cancelled = await self._engines[number].cancel(self._parts[number].job.job_id)
+            cancelled = await self._engines[number].cancel(self._reservations[number].job.job_id)
             return cancelled.started
         except (TargetUnreachableError, TargetBrokenError):
             return True
 
-    async def _cancel_with_retries(self, engine: EngineClient, part: Reservation) -> None:
-        for attempt in range(1, _MAX_CANCEL_ATTEMPTS + 1):
+    async def _cancel_with_retries(self, engine: EngineClient, reservation: Reservation) -> None:
+        for cancel_number in range(1, _MAX_CANCELS + 1):
             try:
-                await engine.cancel(part.job.job_id)
+                await engine.cancel(reservation.job.job_id)
                 return
             except TargetUnreachableError:
                 # Nothing to cancel while the target is down. If it comes back with the session,
@@ -326,13 +333,13 @@
                 return
             except TargetBrokenError:
                 pause_s = backoff_s(
-                    attempt, _CANCEL_MIN_BACKOFF_S, _CANCEL_MAX_BACKOFF_S, self._ctx.rng
+                    cancel_number, _CANCEL_FIRST_DELAY_S, _CANCEL_MAX_DELAY_S, self._ctx.rng
                 )
                 await sleep(self._ctx.clock, pause_s)
 
-    def _release(self, part: Reservation) -> None:
-        self._ctx.own_sessions.discard(part.job.job_id)
-        self._ctx.placer.release(part)
+    def _release(self, reservation: Reservation) -> None:
+        self._ctx.own_sessions.discard(reservation.job.job_id)
+        self._ctx.placer.release(reservation)
 
 
 def _shielded(wait: defer.Deferred) -> defer.Deferred:
--- a/gladedrum/entry/body.py
+++ b/gladedrum/entry/body.py
@@ -46,7 +46,7 @@
         return self.received_bytes > self.limit_bytes
 
 
-class _CallerRequest(Request):
+class _LimitedRequest(Request):
     """A request that applies the site's limits to its body."""
 
     _timer: IDelayedCall | None = None
@@ -115,7 +115,7 @@
     """
 
     def __init__(self, reactor, resource, cfg: Settings):
-        super().__init__(resource, requestFactory=_CallerRequest, timeout=_IDLE_TIMEOUT_S)
+        super().__init__(resource, requestFactory=_LimitedRequest, timeout=_IDLE_TIMEOUT_S)
         self.reactor = reactor
         self.max_body_bytes = cfg.get(MAX_BODY)
         self.body_time_s = cfg.get(BODY_TIME)
--- a/gladedrum/entry/idempotency.py
+++ b/gladedrum/entry/idempotency.py
@@ -86,12 +86,12 @@
         See `AskRunning`.
     """
     try:
-        answer = await claims.acquire(*keyed)
+        result = await claims.acquire(*keyed)
     except defer.CancelledError:
         # The claim may still be written. Record that its request never runs.
         claims.record_outcome(*keyed, NotRun("the caller has gone"))
         raise
-    match answer:
+    match result:
         case Acquired():
             pass
         case ClaimFailed(reason=reason):
--- a/gladedrum/entry/lifecycle.py
+++ b/gladedrum/entry/lifecycle.py
@@ -107,11 +107,11 @@
 
     Examples
     --------
-    >>> life = new_lifecycle()
-    >>> life.outcome_if_ended("no room")
+    >>> lifecycle = new_lifecycle()
+    >>> lifecycle.outcome_if_ended("no room")
     NotRun(reason='no room', retry_after_s=1.0, status=<HTTPStatus.SERVICE_UNAVAILABLE: 503>)
-    >>> life.send()
-    >>> type(life.outcome_if_ended("connection lost")).__name__
+    >>> lifecycle.send()
+    >>> type(lifecycle.outcome_if_ended("connection lost")).__name__
     'Unknown'
     """
     return _new_machine(_NoData())
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -32,7 +32,7 @@
 
 __all__ = ["Placer", "Reservation"]
 
-_MAX_ROUNDS = 4
+_MAX_QUOTE_ROUNDS = 4
 _RENEWALS_PER_LIFETIME = 4
 _NO_TARGET_RETRY_AFTER_S = 2.0
 _AVOID_AFTER_FAILURE_S = 3.0
@@ -41,7 +41,9 @@
 
 
 class Reservation(NamedTuple):
-    """A reservation on a target.
+    """A reservation on a target, as kept by the box that received the request.
+
+    The record that the owner keeps is `gladedrum.scheduling.Reservation`.
 
     Parameters
     ----------
@@ -98,7 +100,8 @@
         self._membership = membership
         self._gateway = gateway
         self._held: dict[str, Reservation] = {}
-        self._informed_owners: dict[str, str] = {}
+        # The owner that last received the job's record, by job id.
+        self._informed_owner_by_job: dict[str, str] = {}
         self._hand_over_call: IDelayedCall | None = None
         self._avoided_until_s: dict[str, float] = {}
 
@@ -151,7 +154,7 @@
         jobs = self._jobs_of(job, model, policy_name)
         refusal = Refused("no target answers for this model", _NO_TARGET_RETRY_AFTER_S)
         excluded: frozenset[str] = exclude
-        for _ in range(_MAX_ROUNDS):
+        for _ in range(_MAX_QUOTE_ROUNDS):
             targets = self._candidates(jobs, model, policy_name, excluded)
             if len(targets) < max(1, len(jobs)):
                 break
@@ -173,7 +176,7 @@
         """Release a reservation; does nothing if it was released before."""
         if self._held.pop(reservation.job.job_id, None) is None:
             return
-        del self._informed_owners[reservation.job.job_id]
+        del self._informed_owner_by_job[reservation.job.job_id]
         self._gateway.release(reservation.owner, reservation.target, reservation.job.job_id)
 
     def first_token(self, reservation: Reservation) -> None:
@@ -193,7 +196,7 @@
         await repeat(self._clock, interval_s, self._renew)
 
     def _renew(self) -> None:
-        self._gateway.renew((p.target, p.job.job_id) for p in self._held.values())
+        self._gateway.renew((r.target, r.job.job_id) for r in self._held.values())
 
     def _hand_over(self) -> None:
         """Send each reservation to its target's owner, unless that owner already has it."""
@@ -201,11 +204,11 @@
         by_target: defaultdict[str, list[Reservation]] = defaultdict(list)
         for reservation in self._held.values():
             owner = self._membership.owner_of(reservation.target)
-            if self._informed_owners.get(reservation.job.job_id) != owner.name:
-                self._informed_owners[reservation.job.job_id] = owner.name
+            if self._informed_owner_by_job.get(reservation.job.job_id) != owner.name:
+                self._informed_owner_by_job[reservation.job.job_id] = owner.name
                 by_target[reservation.target.name].append(reservation)
         for held in by_target.values():
-            self._gateway.hand_over(held[0].target, [(p.job, p.policy) for p in held])
+            self._gateway.hand_over(held[0].target, [(r.job, r.policy) for r in held])
 
     def _jobs_of(self, job: Job, model: str, policy_name: str) -> list[Job]:
         memories = [t.memory_tokens for t in self._membership.directory.engines(model)]
@@ -267,20 +270,20 @@
         self, jobs: list[Job], options: _ReservationOptions, targets: list[Target]
     ) -> tuple[Reservation, ...] | Refused:
         """Reserve on all targets, in this order, or on none."""
-        parts: list[Reservation] = []
+        reservations: list[Reservation] = []
         complete = False
         try:
             for job, target in zip(jobs, targets, strict=True):
                 answer = await self._reserve_one(job, options, target)
                 if isinstance(answer, Refused):
                     return answer
-                parts.append(answer)
+                reservations.append(answer)
             complete = True
-            return tuple(parts)
+            return tuple(reservations)
         finally:
             if not complete:
-                for part in parts:
-                    self.release(part)
+                for reservation in reservations:
+                    self.release(reservation)
 
     async def _reserve_one(
         self, job: Job, options: _ReservationOptions, target: Target
@@ -294,7 +297,7 @@
 
     def _hold(self, reservation: Reservation) -> Reservation:
         self._held[reservation.job.job_id] = reservation
-        self._informed_owners[reservation.job.job_id] = reservation.owner.name
+        self._informed_owner_by_job[reservation.job.job_id] = reservation.owner.name
         return reservation
 
     def _policy_or_default(self, name: str) -> str:
--- a/gladedrum/entry/requests.py
+++ b/gladedrum/entry/requests.py
@@ -10,7 +10,13 @@
 
 from ..errors import Finding, GladedrumError
 
-__all__ = ["BadRequestError", "CallerRequest", "HeaderLookup", "RequestKind", "parse_completion"]
+__all__ = [
+    "BadRequestError",
+    "CompletionRequest",
+    "HeaderLookup",
+    "RequestKind",
+    "parse_completion",
+]
 
 ORGANISATION_HEADER = "gladedrum-organisation"
 CLASS_HEADER = "gladedrum-class"
@@ -44,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerRequest:
+class CompletionRequest:
     """A validated completion request.
 
     Parameters
@@ -169,7 +175,7 @@
 
 def parse_completion(
     kind: str, raw: bytes, headers: HeaderLookup, organisation: str
-) -> CallerRequest:
+) -> CompletionRequest:
     """Parse and validate a completion request.
 
     Parameters
@@ -202,7 +208,7 @@
     if not isinstance(options, dict):
         reader.add_finding("stream_options", "must be an object")
         options = {}
-    req = CallerRequest(
+    req = CompletionRequest(
         kind=kind,
         model=model,
         prompt=prompt,
--- a/gladedrum/entry/responses.py
+++ b/gladedrum/entry/responses.py
@@ -17,7 +17,7 @@
 from ..outcome import Completed, Outcome, http_status, outcome_name, retry_after_s
 from ..targets import AnswerStream, Piece
 from .idempotency import RUNNING_RETRY_AFTER_S, Duplicate
-from .requests import CallerRequest, RequestKind
+from .requests import CompletionRequest, RequestKind
 
 __all__ = [
     "OUTCOME_HEADER",
@@ -104,13 +104,15 @@
         The caller's HTTP request.
     request_id : str
         Request id that is returned to the caller.
-    req : CallerRequest
+    req : CompletionRequest
         The parsed request.
     prompt_tokens : int
         Estimated length of the prompt, for the usage in the last event.
     """
 
-    def __init__(self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int):
+    def __init__(
+        self, request: Request, request_id: str, req: CompletionRequest, prompt_tokens: int
+    ):
         self._request = request
         self._id = request_id
         self._req = req
@@ -202,7 +204,9 @@
     The parameters are those of `StreamSink`.
     """
 
-    def __init__(self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int):
+    def __init__(
+        self, request: Request, request_id: str, req: CompletionRequest, prompt_tokens: int
+    ):
         self._request = request
         self._id = request_id
         self._req = req
@@ -247,7 +251,7 @@
     request.setHeader(OUTCOME_HEADER, outcome.encode())
 
 
-def _chunk_head(request_id: str, req: CallerRequest) -> dict[str, Any]:
+def _chunk_head(request_id: str, req: CompletionRequest) -> dict[str, Any]:
     return {
         "id": request_id,
         "object": _CHUNK_OBJECTS[req.kind],
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -21,7 +21,7 @@
 from .attempt import Attempt, AttemptContext, Sink
 from .lifecycle import new_lifecycle
 from .placement import Placer, Reservation
-from .requests import CallerRequest
+from .requests import CompletionRequest
 from .retries import RetryBudget
 
 __all__ = ["CompletionRun", "RunContext"]
@@ -29,7 +29,7 @@
 _log = logging.getLogger(__name__)
 
 _MAX_ATTEMPTS = 4
-_RETRY_MIN_BACKOFF_S, _RETRY_MAX_BACKOFF_S = 0.05, 1.0
+_RETRY_FIRST_DELAY_S, _RETRY_MAX_DELAY_S = 0.05, 1.0
 
 
 @dataclass
@@ -43,7 +43,7 @@
     clock : IReactorTime
         Monotonic clock and timers.
     now_s : callable
-        Returns the time of the decision clock, in seconds.
+        Returns the time of the box's `DecisionClock`, in seconds.
     placer : Placer
         Places requests on targets.
     web : WebClient
@@ -55,9 +55,10 @@
     retries : RetryBudget
         Limit on retries.
     own_sessions : set of str
-        Ids of the sessions that this box waits for.
+        Ids of the sessions that this box waits for, and of its running requests that hold an
+        idempotency key.
     rng : random.Random
-        Source of backoff jitter.
+        Source of jitter for retry delays.
     """
 
     box: str
@@ -81,7 +82,7 @@
         State common to all runs.
     request_id : str
         Request id that is returned to the caller.
-    req : CallerRequest
+    req : CompletionRequest
         The request.
     prompt_tokens : int
         Estimated length of the prompt.
@@ -97,7 +98,7 @@
         self,
         ctx: RunContext,
         request_id: str,
-        req: CallerRequest,
+        req: CompletionRequest,
         prompt_tokens: int,
         prefix: tuple[int, ...],
         params: EffectiveValues,
@@ -110,7 +111,7 @@
         self._prefix = prefix
         self._params = params
         self._sink = sink
-        self._life = new_lifecycle()
+        self._lifecycle = new_lifecycle()
         self._offset = 0
         self._attempt_count = 0
         self._arrival_s = ctx.now_s()
@@ -127,7 +128,7 @@
             placer=ctx.placer,
             own_sessions=ctx.own_sessions,
             rng=ctx.rng,
-            life=self._life,
+            lifecycle=self._lifecycle,
             sink=sink,
             time_left_s=lambda: self._deadline_s - ctx.now_s(),
             offset=lambda: self._offset,
@@ -155,10 +156,10 @@
             try:
                 outcome = await self._run_with_deadline(span)
             except defer.CancelledError:
-                outcome = self._life.outcome_if_ended("the caller has gone")
+                outcome = self._lifecycle.outcome_if_ended("the caller has gone")
             except Exception:
                 self._log.exception("request failed with an internal error")
-                outcome = self._life.outcome_if_ended("a fault in the serving layer")
+                outcome = self._lifecycle.outcome_if_ended("a fault in the serving layer")
             finally:
                 self._ctx.metrics.in_flight.dec()
             span.set_attribute("gladedrum.outcome", outcome_name(outcome))
@@ -179,7 +180,7 @@
             left_s = self._deadline_s - self._ctx.now_s()
             return await with_timeout(self._ctx.clock, left_s, self._attempt_until_done(span))
         except TimeoutError:
-            match self._life.outcome_if_ended("its time is up"):
+            match self._lifecycle.outcome_if_ended("its time is up"):
                 case Failed(reason=reason):
                     return Failed(reason, HTTPStatus.GATEWAY_TIMEOUT)
                 case Unknown(reason=reason):
@@ -192,24 +193,24 @@
         self._ctx.retries.note_first_attempt(self._params.number("retry_share"))
         while True:
             self._attempt_count += 1
-            parts = await self._place(excluded, span)
-            if isinstance(parts, Refused):
-                return self._refusal_outcome(parts)
-            outcome = await self._attempt(parts, span)
+            reservations = await self._place(excluded, span)
+            if isinstance(reservations, Refused):
+                return self._refusal_outcome(reservations)
+            outcome = await self._attempt(reservations, span)
             if outcome is not None:
                 return outcome
             excluded = self._failed_targets
             if self._attempt_count >= _MAX_ATTEMPTS or not self._ctx.retries.try_withdraw():
-                return self._life.outcome_if_ended(
+                return self._lifecycle.outcome_if_ended(
                     "the targets did not serve it, and no retry is left"
                 )
             pause_s = backoff_s(
-                self._attempt_count, _RETRY_MIN_BACKOFF_S, _RETRY_MAX_BACKOFF_S, self._ctx.rng
+                self._attempt_count, _RETRY_FIRST_DELAY_S, _RETRY_MAX_DELAY_S, self._ctx.rng
             )
             await sleep(self._ctx.clock, pause_s)
 
     def _refusal_outcome(self, refused: Refused) -> Outcome:
-        match self._life.outcome_if_ended(refused.reason):
+        match self._lifecycle.outcome_if_ended(refused.reason):
             case NotRun(reason=reason):
                 return NotRun(reason, refused.retry_after_s)
             case outcome:
@@ -231,25 +232,25 @@
             entry_box=self._ctx.box,
         )
         with _child_span(self._ctx.traces.tracer, "place", span) as place_span:
-            parts = await self._ctx.placer.place(
+            reservations = await self._ctx.placer.place(
                 job,
                 self._req.model,
                 self._params.name("policy"),
                 excluded,
                 header_of_span(place_span),
             )
-            if not isinstance(parts, Refused):
-                names = [part.target.name for part in parts]
+            if not isinstance(reservations, Refused):
+                names = [reservation.target.name for reservation in reservations]
                 place_span.set_attribute("gladedrum.targets", names)
-                place_span.set_attribute("gladedrum.owner", parts[-1].owner.name)
-            return parts
+                place_span.set_attribute("gladedrum.owner", reservations[-1].owner.name)
+            return reservations
 
-    async def _attempt(self, parts: tuple[Reservation, ...], span: Span) -> Outcome | None:
+    async def _attempt(self, reservations: tuple[Reservation, ...], span: Span) -> Outcome | None:
         """Make one attempt; return None if the request may be retried on other targets."""
-        self._awaiting_first_token = parts[-1]
+        self._awaiting_first_token = reservations[-1]
         attempt = Attempt(
             self._attempt_context,
-            parts,
+            reservations,
             self._req.model,
             self._req.prompt,
             self._req.max_tokens,
@@ -258,7 +259,7 @@
         completed = False
         try:
             with _child_span(self._ctx.traces.tracer, "target", span) as target_span:
-                target_span.set_attribute("gladedrum.session_id", parts[-1].job.job_id)
+                target_span.set_attribute("gladedrum.session_id", reservations[-1].job.job_id)
                 outcome = await attempt.run(target_span)
             completed = isinstance(outcome, Completed)
             return outcome
@@ -280,7 +281,7 @@
         if self._last_piece_s is None:
             length = length_class(self._prompt_tokens)
             self._ctx.metrics.first_token_s.labels(length).observe(now_s - self._arrival_s)
-            self._life.answer()
+            self._lifecycle.answer()
         else:
             between_s = (now_s - self._last_piece_s) / len(pieces)
             self._ctx.metrics.between_tokens_s.observe(between_s)
--- a/gladedrum/entry/services.py
+++ b/gladedrum/entry/services.py
@@ -18,6 +18,7 @@
 
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 _RETRY_AFTER_S = 2.0
+# Stands for the length class of a prompt in the metric of outcomes.
 _LENGTH_LABEL = "service"
 
 _log = logging.getLogger(__name__)
--- a/gladedrum/entry/site.py
+++ b/gladedrum/entry/site.py
@@ -24,7 +24,7 @@
     ORGANISATION_HEADER,
     TIMEOUT_HEADER,
     BadRequestError,
-    CallerRequest,
+    CompletionRequest,
     RequestKind,
     parse_completion,
 )
@@ -56,6 +56,8 @@
 API_KEYS = Item("entry", "api_keys", (), "The API keys, each as KEY:ORGANISATION.", secret=True)
 
 ANONYMOUS = "anonymous"
+"""Organisation of callers that send no organisation header."""
+
 _DEFAULT_SERVICE_TIMEOUT_S = 30.0
 _DRAIN_RETRY_AFTER_S = 1.0
 
@@ -203,7 +205,7 @@
         self,
         request: Request,
         request_id: str,
-        req: CallerRequest,
+        req: CompletionRequest,
         prompt_tokens: int,
         prefix: tuple[int, ...],
     ) -> defer.Deferred[None]:
@@ -218,16 +220,16 @@
                 return
             body = f"{req.model}\0{req.max_tokens}\0{req.prompt}".encode()
             keyed = KeyedRequest(req.organisation, req.idempotency_key, body, request_id)
-            answer = await self._run_once(keyed, run.run)
-            if isinstance(answer, Duplicate):
-                finish_duplicate(request, request_id, answer)
+            result = await self._run_once(keyed, run.run)
+            if isinstance(result, Duplicate):
+                finish_duplicate(request, request_id, result)
             else:
-                sink.finish(answer, run.offset)
+                sink.finish(result, run.offset)
 
         return self._track(start(serve()))
 
     def _refuse_if_impossible(
-        self, request: Request, request_id: str, req: CallerRequest, prompt_tokens: int
+        self, request: Request, request_id: str, req: CompletionRequest, prompt_tokens: int
     ) -> bool:
         """Refuse a request that no target can serve; return True if it was refused."""
         if not self._membership.directory_read:
@@ -256,10 +258,10 @@
         reply: list[ServiceReply] = []
 
         async def run() -> Outcome:
-            answer = await self._services.call(call)
-            if not isinstance(answer, ServiceReply):
-                return answer
-            reply.append(answer)
+            result = await self._services.call(call)
+            if not isinstance(result, ServiceReply):
+                return result
+            reply.append(result)
             return Completed()
 
         organisation = self._organisation(request)
@@ -280,21 +282,22 @@
     async def _run_once(
         self, keyed: KeyedRequest, run: Callable[[], Awaitable[Outcome]]
     ) -> Outcome | Duplicate:
+        # Other boxes ask for this id, to find out whether the claim on the key is orphaned.
         self._ctx.own_sessions.add(keyed.request_id)
         try:
             return await run_once(self._claims, keyed, run, self._ask_running)
         finally:
             self._ctx.own_sessions.discard(keyed.request_id)
 
-    def _finish_service(self, request: Request, call: ServiceCall, answer: ServiceReply) -> None:
+    def _finish_service(self, request: Request, call: ServiceCall, reply: ServiceReply) -> None:
         if request._disconnected:
             return
-        request.setResponseCode(answer.status)
+        request.setResponseCode(reply.status)
         request.setHeader(REQUEST_ID_HEADER, call.request_id.encode())
         request.setHeader(OUTCOME_HEADER, b"completed")
-        for name, value in answer.headers.items():
+        for name, value in reply.headers.items():
             request.setHeader(name.encode(), value.encode("latin-1"))
-        request.write(answer.body)
+        request.write(reply.body)
         request.finish()
 
     def _track(self, run: defer.Deferred[None]) -> defer.Deferred[None]:
--- a/gladedrum/entry/tests/test_attempt.py
+++ b/gladedrum/entry/tests/test_attempt.py
@@ -21,8 +21,8 @@
 RESERVATION = Reservation(
     JOB, "fair_slack", Target("e", "engine", "http://127.0.0.1:3"), Box("b", "", 1), 0
 )
-BROKEN, GONE = TargetBrokenError("reset"), TargetRefusedError("no such session", 404)
-AWAY = TargetUnreachableError("refused")
+BROKEN, NO_SESSION = TargetBrokenError("reset"), TargetRefusedError("no such session", 404)
+UNREACHABLE = TargetUnreachableError("refused")
 
 
 class _Engine:
@@ -53,7 +53,7 @@
 
 def run(engine, may_repeat=False):
     clock = Clock()
-    life = new_lifecycle()
+    lifecycle = new_lifecycle()
     ctx = AttemptContext(
         box="me",
         clock=clock,
@@ -61,13 +61,13 @@
         placer=None,
         own_sessions=set(),
         rng=random.Random(1),
-        life=life,
-        sink=SimpleNamespace(attach=lambda _stream: life.answer()),
+        lifecycle=lifecycle,
+        sink=SimpleNamespace(attach=lambda _stream: lifecycle.answer()),
         time_left_s=lambda: 1000.0 - clock.seconds(),
         offset=lambda: 5,
         on_pieces=lambda _pieces: None,
         on_dropped=lambda _why: None,
-        on_target_failure=lambda _placed, _exc: None,
+        on_target_failure=lambda _reservation, _exc: None,
     )
     attempt = Attempt(ctx, (RESERVATION,), "m", "prompt", 10, may_repeat)
     attempt._engines = [engine]
@@ -77,10 +77,10 @@
     return results[0]
 
 
-@pytest.mark.parametrize("again", [BROKEN, AWAY, TargetBrokenError("no answer")])
-def test_an_unrepeatable_request_is_resumed_more_than_once(again):
+@pytest.mark.parametrize("failure", [BROKEN, UNREACHABLE, TargetBrokenError("no answer")])
+def test_an_unrepeatable_request_is_resumed_more_than_once(failure):
     """A failed resume must not cancel a session that is still running."""
-    engine = _Engine(again, None)
+    engine = _Engine(failure, None)
     assert run(engine) == Completed()
     assert not engine.cancelled
 
@@ -93,11 +93,11 @@
 
 
 def test_a_session_that_is_gone_is_not_resumed_again():
-    engine = _Engine(GONE)
+    engine = _Engine(NO_SESSION)
     assert isinstance(run(engine), Failed)
     assert engine.cancelled
 
 
 def test_resumes_are_limited_and_a_repeatable_request_is_retried_elsewhere_at_once():
-    assert isinstance(run(_Engine(*[AWAY] * 50)), Failed)
-    assert run(_Engine(AWAY), may_repeat=True) is None
+    assert isinstance(run(_Engine(*[UNREACHABLE] * 50)), Failed)
+    assert run(_Engine(UNREACHABLE), may_repeat=True) is None
--- a/gladedrum/entry/tests/test_idempotency.py
+++ b/gladedrum/entry/tests/test_idempotency.py
@@ -59,7 +59,7 @@
     assert [type(outcome) for outcome in claims.recorded] == [Unknown]
 
 
-def _older(running):
+def _code_of_duplicate(running):
     claim = Claim("first", "box-9", "digest", ClaimState.RUNNING, 0.0)
     _, results = _run(_Claims(defer.succeed(AlreadyClaimed(claim))), _complete, running)
     assert isinstance(results[0], Duplicate)
@@ -67,6 +67,6 @@
 
 
 def test_a_duplicate_reports_whether_the_first_request_still_runs():
-    assert _older(["first"]) == "still_running"
-    assert _older(None) == "still_running"
-    assert _older([]) == "outcome_unknown"
+    assert _code_of_duplicate(["first"]) == "still_running"
+    assert _code_of_duplicate(None) == "still_running"
+    assert _code_of_duplicate([]) == "outcome_unknown"
--- a/gladedrum/entry/tests/test_lifecycle.py
+++ b/gladedrum/entry/tests/test_lifecycle.py
@@ -5,10 +5,10 @@
 
 
 def _outcome_after(*steps):
-    life = new_lifecycle()
+    lifecycle = new_lifecycle()
     for step in steps:
-        getattr(life, step)()
-    return type(life.outcome_if_ended("gone"))
+        getattr(lifecycle, step)()
+    return type(lifecycle.outcome_if_ended("gone"))
 
 
 def test_nothing_sent_is_not_run():
@@ -23,7 +23,7 @@
     assert _outcome_after("send", "not_started") is NotRun
 
 
-def test_a_second_target_s_confirmation_does_not_cover_the_first():
+def test_confirmation_by_a_second_target_does_not_cover_the_first():
     """A refused retry must not turn a request that may have run into one that has not run."""
     assert _outcome_after("send", "in_doubt", "send", "not_started") is Unknown
 
--- a/gladedrum/targets/engine.py
+++ b/gladedrum/targets/engine.py
@@ -196,7 +196,7 @@
                 tuple(reply.get("models", ())),
             )
         except (KeyError, TypeError, ValueError) as exc:
-            raise TargetBrokenError(f"{self._url}/load makes no sense: {exc!r}") from exc
+            raise TargetBrokenError(f"{self._url}/load: invalid response: {exc!r}") from exc
 
     async def sessions(self) -> list[EngineSession]:
         """Return the engine's sessions; raises the same errors as `cancel`."""
@@ -207,7 +207,7 @@
                 for r in reply["sessions"]
             ]
         except (KeyError, TypeError, ValueError) as exc:
-            raise TargetBrokenError(f"{self._url}/sessions makes no sense: {exc!r}") from exc
+            raise TargetBrokenError(f"{self._url}/sessions: invalid response: {exc!r}") from exc
 
     async def _start(self, req: EngineRequest, hold: bool, timeout_s: float) -> IResponse:
         session = {
@@ -224,7 +224,7 @@
             "stream": True,
             "priority": req.priority,
             "session": session,
-            "context": [place._asdict() for place in req.context],
+            "context": [location._asdict() for location in req.context],
         }
         headers = {"traceparent": req.traceparent} if req.traceparent else {}
         return await self._send("POST", self._url + "/v1/completions", body, headers, timeout_s)
--- a/gladedrum/targets/held.py
+++ b/gladedrum/targets/held.py
@@ -52,8 +52,8 @@
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in filter(lambda e: e.startswith(_DATA_PREFIX), events):
             body = json.loads(event[len(_DATA_PREFIX) :])
-            fits = body.get("id") == self._session_id and body.get("held") is True
-            if fits and not self.held.called:
+            confirmed = body.get("id") == self._session_id and body.get("held") is True
+            if confirmed and not self.held.called:
                 self.held.callback(None)
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
--- a/gladedrum/targets/owner.py
+++ b/gladedrum/targets/owner.py
@@ -59,14 +59,15 @@
 
 _log = logging.getLogger(__name__)
 
-LiveSessions = Callable[[str, list[str]], Awaitable[list[str] | None]]
+AskLiveSessions = Callable[[str, list[str]], Awaitable[list[str] | None]]
 """Asks a box, by name, which of some sessions it still waits for; None if this is unknown."""
 
 
 class DecisionClock:
     """A monotonic clock that starts at the wall-clock time.
 
-    Its time is comparable between boxes as far as their wall clocks agree, and never jumps.
+    Arrivals, deadlines and reservations are expressed in its time, which is comparable between
+    boxes as far as their wall clocks agree, and never jumps.
 
     Parameters
     ----------
@@ -98,8 +99,8 @@
         Source of the ``[targets]`` settings.
     clock : DecisionClock
         Clock for queueing and reservations.
-    live_sessions : callable
-        Asks other boxes for their sessions; see `LiveSessions`.
+    ask_live_sessions : callable
+        Asks a box which sessions it waits for; see `AskLiveSessions`.
     """
 
     def __init__(
@@ -108,7 +109,7 @@
         engine: EngineClient,
         cfg: Settings,
         clock: DecisionClock,
-        live_sessions: LiveSessions,
+        ask_live_sessions: AskLiveSessions,
     ):
         traits = EngineTraits(
             target.memory_tokens,
@@ -124,7 +125,7 @@
         self._engine = engine
         self._clock = clock
         self._orphan_grace_s = cfg.get(ORPHAN_GRACE)
-        self._live_sessions = live_sessions
+        self._ask_live_sessions = ask_live_sessions
         self._pending_answers: dict[str, defer.Deferred[Grant | Refused]] = {}
         self._failures = 0
         self._polling = False
@@ -189,7 +190,11 @@
         self.queue.adopt(job, chosen, self.last_used_s)
 
     def tick(self) -> None:
-        """Drop expired reservations and late requests, then grant the requests that now fit."""
+        """Drop what has expired, then grant the requests that now fit.
+
+        Drops reservations that were not renewed, and waiting requests that can no longer be
+        completed before their deadline.
+        """
         now_s = self._clock.now_s()
         if not self.queue.running and not self.queue.waiting:
             return
@@ -261,12 +266,12 @@
             await self._cancel_orphans_of(box, [s.session_id for s in old if s.owner == box])
 
     async def _cancel_orphans_of(self, box: str, session_ids: list[str]) -> None:
-        live = await self._live_sessions(box, session_ids)
+        live = await self._ask_live_sessions(box, session_ids)
         if live is None:
             return
         for session_id in set(session_ids) - set(live):
             _log.warning(
-                "orphaned session cancelled",
+                "cancelling orphaned session",
                 extra={"session_id": session_id, "target": self.target.name, "entry_box": box},
             )
             try:
--- a/gladedrum/targets/owners.py
+++ b/gladedrum/targets/owners.py
@@ -13,7 +13,7 @@
 from ..telemetry import Metrics
 from ..utils import WebClient, repeat, start
 from .engine import EngineClient
-from .owner import DEFAULT_POLICY, LEAVING_REASON, DecisionClock, LiveSessions, TargetOwner
+from .owner import DEFAULT_POLICY, LEAVING_REASON, AskLiveSessions, DecisionClock, TargetOwner
 
 __all__ = ["POLL_INTERVAL", "TargetOwners"]
 
@@ -42,8 +42,18 @@
         Receives queue lengths and reserved tokens.
     find_target : callable
         Returns a target of the directory by name, or None.
-    ask_sessions : callable
-        Asks other boxes for their sessions; see `LiveSessions`.
+    ask_live_sessions : callable
+        Asks a box which sessions it waits for; see `AskLiveSessions`.
+
+    Attributes
+    ----------
+    clock : DecisionClock
+        The clock of all owners on this box.
+    own_sessions : set of str
+        Ids of the sessions that this box waits for, and of its running requests that hold an
+        idempotency key.
+    leaving : bool
+        True once `leave` has been called.
     """
 
     def __init__(
@@ -53,7 +63,7 @@
         web: WebClient,
         metrics: Metrics,
         find_target: Callable[[str], Target | None],
-        ask_sessions: LiveSessions,
+        ask_live_sessions: AskLiveSessions,
     ):
         self.clock = DecisionClock(reactor)
         self.own_sessions: set[str] = set()
@@ -63,7 +73,7 @@
         self._web = web
         self._metrics = metrics
         self._find_target = find_target
-        self._ask_sessions = ask_sessions
+        self._ask_live_sessions = ask_live_sessions
         self._owners: dict[str, TargetOwner] = {}
 
     def now_s(self) -> float:
@@ -120,7 +130,7 @@
         return self._owners.values()
 
     async def tick(self) -> None:
-        """Run the time-driven work of all owners periodically until cancelled."""
+        """Call `TargetOwner.tick` of all owners periodically until cancelled."""
         await repeat(self._reactor, _TICK_INTERVAL_S, self._tick)
 
     async def poll(self, owned_targets: Callable[[], list[Target]]) -> None:
@@ -158,7 +168,7 @@
         if target is None:
             return None
         engine = EngineClient(target.url, self._web)
-        owner = TargetOwner(target, engine, self._cfg, self.clock, self._ask_sessions)
+        owner = TargetOwner(target, engine, self._cfg, self.clock, self._ask_live_sessions)
         self._owners[name] = owner
         start(owner.poll()).addErrback(_log_poll_failure, name)
         return owner
@@ -177,4 +187,7 @@
 
 
 def _log_poll_failure(failure, target: str) -> None:
-    _log.error("poll failed", extra={"target": target, "reason": failure.getErrorMessage()})
+    _log.error(
+        "polling a target failed with an internal error",
+        extra={"target": target, "reason": failure.getErrorMessage()},
+    )
--- a/gladedrum/targets/stream.py
+++ b/gladedrum/targets/stream.py
@@ -68,7 +68,8 @@
     on_pieces : callable
         Called with the list of valid pieces of each received chunk.
     on_dropped : callable
-        Called with the reason, ``crossed`` or ``duplicate``, for each dropped piece.
+        Called with the reason for each dropped piece: ``crossed`` if it belongs to another session,
+        ``duplicate`` if its offset was received before or it follows the last piece.
 
     Attributes
     ----------
--- a/gladedrum/targets/tests/test_owner.py
+++ b/gladedrum/targets/tests/test_owner.py
@@ -31,12 +31,12 @@
     """Such sessions exist after a change of owner or a gap in the directory's list."""
     clock, engine = Clock(), _Engine()
 
-    async def live_sessions(_box, _ids):
+    async def ask_live_sessions(_box, _ids):
         return awaited
 
     target = Target("e", "engine", "http://127.0.0.1:1", memory_tokens=10_000)
     cfg = parse_settings("")
-    owner = TargetOwner(target, engine, cfg, DecisionClock(clock, 0.0), live_sessions)
+    owner = TargetOwner(target, engine, cfg, DecisionClock(clock, 0.0), ask_live_sessions)
     for _ in range(20):
         start(owner.poll())
         clock.advance(1.0)
