--- a/conftest.py
+++ b/conftest.py
@@ -46,6 +46,7 @@
 
 
 def _is_selection(items):
+    """Whether the command line selects single tests, so that a listed test may be left out."""
     args = items[0].config.invocation_params.args if items else ()
     return any("::" in str(arg) or arg == "-k" for arg in args)
 
--- a/gladedrum/ctl/report_tables.py
+++ b/gladedrum/ctl/report_tables.py
@@ -15,9 +15,11 @@
 class GroupFigures(TypedDict):
     """Figures of a group of requests.
 
-    ``about`` describes the requests and is empty if they differ. ``in_time_share`` is a share of
-    worth. ``error_s`` is the median difference between actual and predicted time to the first
-    event, ``abs_error_s`` the median absolute difference; both are None without predictions.
+    ``about`` describes the requests and is empty if they differ. ``left`` counts requests whose
+    caller left. ``in_time_share`` is the share of the group's worth that was served in time.
+    ``held_s`` is the total time of requests that ended without an attempt. ``error_s`` is the
+    median difference between actual and predicted time to the first event, ``abs_error_s`` the
+    median absolute difference; both are None without predictions.
     """
 
     name: str
@@ -48,7 +50,7 @@
 class DeciderFigures(TypedDict):
     """A box that decides placements: its share, and the queries it did not answer in time.
 
-    ``name`` is empty for requests that a box placed by itself.
+    ``name`` is empty for requests whose log lines name no decider.
     """
 
     name: str
@@ -135,7 +137,7 @@
         return row.verdict, row.cause
 
     missed = sorted((row for row in served if row.cause), key=key)
-    grouped = [(names, list(rows)) for names, rows in itertools.groupby(missed, key=key)]
+    grouped = [(group, list(rows)) for group, rows in itertools.groupby(missed, key=key)]
     causes = [
         CauseFigures(
             cause=cause,
--- a/gladedrum/ctl/served_requests.py
+++ b/gladedrum/ctl/served_requests.py
@@ -63,7 +63,7 @@
     predicted_s : float or None
         Predicted value of `first_s`; None if there was no prediction.
     held_s : float
-        How long it was held if no target was tried; else 0.
+        Time from its arrival to its end if no attempt was made; else 0.
     about : str
         Description of its kind: stream or plain answer, and the objective.
     """
@@ -103,7 +103,11 @@
 
 
 def served_requests(rows: Iterable[LogRow]) -> list[ServedRequest]:
-    """Return the requests that end within the rows, in order of arrival."""
+    """Return the requests that end within the rows, in order of arrival.
+
+    Requests without an objective are left out: those that were not admitted, and those of boxes
+    with the OpenAI interface.
+    """
     by_request: dict[str, list[LogRow]] = defaultdict(list)
     for row in rows:
         if row.request_id:
@@ -157,7 +161,7 @@
 
 
 def _describe_kind(fields: dict[str, Any]) -> str:
-    """Describe a kind of request: the logs do not hold the properties of its route."""
+    """Describe a kind of request by what its log lines tell about its route."""
     what = "stream" if fields.get("pause_limit_s") else "plain"
     return f"{what}, {fields['objective_s']:g} s"
 
--- a/gladedrum/ctl/table.py
+++ b/gladedrum/ctl/table.py
@@ -1,4 +1,9 @@
-"""``gladedrumctl table``: shows and edits the table of weights and limits."""
+"""``gladedrumctl table``: shows and edits the table of weights and limits.
+
+A row of the table holds for an organisation, a class of requests or all; a knob is a column. Each
+accepted edit makes a new revision. An edit names the revision that its author has seen, and
+conflicts with later changes of the same cells.
+"""
 
 import argparse
 import getpass
--- a/gladedrum/ctl/table_files.py
+++ b/gladedrum/ctl/table_files.py
@@ -27,8 +27,8 @@
 _NO_VALUE = ""
 _ROW_COLUMN = "row"
 _REVISION_PREFIX = "# revision "
-"""Prefix of the first line of an exported file. An import conflicts with later changes of the cells
-that it changes."""
+"""Prefix of the first line of an exported file, which holds its revision. An import conflicts
+if others have changed one of the imported cells since then."""
 
 
 class TableUsageError(GladedrumError):
@@ -66,14 +66,14 @@
 
 def read_file(text: str) -> TableFile:
     """Parse a file; raises `TableUsageError` with all invalid lines."""
-    revision, first_line = None, 2
+    revision, first_row_line = None, 2
     if text.startswith(_REVISION_PREFIX):
         line, _, text = text.partition("\n")
         revision = _revision_of(line)
-        first_line += 1
+        first_row_line += 1
     rows: dict[str, dict[str, CellValue]] = {}
     problems = []
-    for number, fields in enumerate(csv.DictReader(io.StringIO(text)), first_line):
+    for number, fields in enumerate(csv.DictReader(io.StringIO(text)), first_row_line):
         row = fields.pop(_ROW_COLUMN, None)
         if not row or None in fields:
             problems.append(f"line {number}: expected a row name and one value per column")
@@ -140,8 +140,8 @@
     rows : mapping
         The newest table.
     edits : iterable of dict
-        The history, newest edit first. It must contain the edits before `revision` that last
-        set the cells changed since.
+        The history, newest edit first. For each cell changed after `revision`, it must also
+        contain the last edit of the cell up to `revision`.
 
     Raises
     ------
--- a/gladedrum/ctl/tests/test_report.py
+++ b/gladedrum/ctl/tests/test_report.py
@@ -116,7 +116,7 @@
     assert by_name["b9.1"]["unanswered"] == 1
 
 
-def test_reasons_that_differ_only_in_names_of_engines_are_counted_together():
+def test_reasons_that_differ_only_in_names_of_targets_are_counted_together():
     rows = [
         ended(12, f"r{i}", outcome="not-run", reason=f"no memory at {names}", offered_s=None)
         for i, names in enumerate(["i-40b55510cb", "i-a56e09b57f, i-1", "i-7, i-8, i-9"])
--- a/gladedrum/ctl/timeline.py
+++ b/gladedrum/ctl/timeline.py
@@ -14,7 +14,8 @@
 """Events up to this long before and after a request are part of its timeline."""
 
 _PLACED, _ENDED = "request placed", "request ended"
-"""Messages logged for each attempt at a target and for the end of a request."""
+"""Messages logged for each attempt at a target and for the end of a request; the field ``offers``
+of the latter is the number of attempts."""
 
 _TARGET_EVENTS = {"target listed", "target gone", "target reports", "target failed a request"}
 _BOX_EVENTS = {
@@ -161,7 +162,10 @@
 
 
 def time_of_day_s(time: str) -> float:
-    """Return seconds since midnight for a log time such as ``2026-05-09 14:27:27,279``."""
+    """Return seconds since midnight for a log time such as ``2026-05-09 14:27:27,279``.
+
+    A time that cannot be parsed counts as midnight.
+    """
     clock = time.rpartition(" ")[2].replace(",", ".").split(":")
     try:
         hours, minutes, seconds = (float(part) for part in clock)
--- a/gladedrum/ctl/traces.py
+++ b/gladedrum/ctl/traces.py
@@ -1,4 +1,7 @@
-"""``gladedrumctl trace``, ``replay`` and ``compare``: scheduling policies on the same traffic."""
+"""``gladedrumctl trace``, ``replay``, ``compare``: replays workloads and compares policies.
+
+A trace is a file of requests and their times here; it has nothing to do with OpenTelemetry.
+"""
 
 import argparse
 import sys
@@ -78,6 +81,7 @@
 
 async def _compare(args: argparse.Namespace, reactor) -> ExitCode:
     for name in args.policies:
+        # Fail on an unknown name before the first replay.
         policy(name)
     rows = read_trace(args.trace) if args.trace else make_trace(Workload(engines=args.engines))
     fleet = LocalFleet(args.engines, lost_engines=args.lose, lost_at_s=args.lose_at)
--- a/gladedrum/ctl/trial.py
+++ b/gladedrum/ctl/trial.py
@@ -45,8 +45,8 @@
     short_call = send("short", args.short_tokens)
     records = {"short": await short_call, "long": await long_call}
     _print(args, records)
-    whole = all(record.outcome == "completed" for record in records.values())
-    return ExitCode.OK if whole else ExitCode.FAILED
+    all_completed = all(record.outcome == "completed" for record in records.values())
+    return ExitCode.OK if all_completed else ExitCode.FAILED
 
 
 def _print(args: argparse.Namespace, records: dict[str, CallRecord]) -> None:
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -57,7 +57,7 @@
 __all__ = ["BoxProcess"]
 
 PEER_TIMEOUT_S = 1.0
-"""Timeout of calls to a peer about its table."""
+"""Timeout of calls that ask a peer for its table, or for the table's revision."""
 
 _log = logging.getLogger(__name__)
 
@@ -244,7 +244,7 @@
         try:
             self.membership.update(await self._directory.read())
         except DirectoryUnavailableError as exc:
-            # Keep the last list; suspicions of boxes that do not answer correct it.
+            # Keep the last list. Listed boxes that no longer answer are suspected and skipped.
             _log.warning("list of boxes and targets not read", extra={"reason": str(exc)})
 
     def _listen_callers(self):
@@ -274,7 +274,7 @@
         if not self.cannot_start.called:
             self.cannot_start.errback(problem)
 
-    # Lookups for the owners of targets and the operators' interface.
+    # Lookups and calls to peers for the components that `__init__` creates.
 
     def _find_target(self, name: str) -> Target | None:
         targets = self.membership.directory.targets
--- a/gladedrum/daemon/embedded.py
+++ b/gladedrum/daemon/embedded.py
@@ -1,4 +1,8 @@
-"""Stand-ins that run inside the daemon, so that a box works without a platform."""
+"""Stand-ins that run inside the daemon, so that a box works without a platform.
+
+They stand in for model engines, an echo service, the platform's directory (its list of boxes and
+targets) and the key-value service.
+"""
 
 from typing import NamedTuple
 
@@ -27,7 +31,17 @@
 
 
 class Embedded(NamedTuple):
-    """Running stand-ins, and the settings with their addresses."""
+    """Running stand-ins, and the settings with their addresses.
+
+    Parameters
+    ----------
+    cfg : Settings
+        The settings of the box, changed to use the stand-ins.
+    standins : list
+        The stand-ins.
+    listening : list of IListeningPort
+        Their listening sockets.
+    """
 
     cfg: Settings
     standins: list
@@ -42,7 +56,7 @@
 
 
 async def start_embedded(cfg: Settings) -> Embedded:
-    """Start the stand-ins on free ports."""
+    """Start the stand-ins on free ports; return them with settings that use them."""
     spec = EngineSpec()
     engines = [Engine(spec, (cfg.get(EMBEDDED_MODEL),)) for _ in range(cfg.get(EMBEDDED_ENGINES))]
     engine_ports = [await listen(engine.app, 0) for engine in engines]
@@ -68,18 +82,18 @@
         "peer_port": cfg.get(PEER_PORT),
         "data_hall": hall,
     }
-    boxlist = BoxList({"boxes": [box], "targets": targets})
-    boxlist_port = await listen(boxlist.app, 0)
+    directory = BoxList({"boxes": [box], "targets": targets})
+    directory_port = await listen(directory.app, 0)
     store = StoreService()
     store_port = await listen(store.app, 0)
     changed = cfg.replace(
         {
-            DIRECTORY_URL: f"http://127.0.0.1:{port_of(boxlist_port)}",
+            DIRECTORY_URL: f"http://127.0.0.1:{port_of(directory_port)}",
             STORE: f"127.0.0.1:{port_of(store_port)}",
         }
     )
-    ports = [*engine_ports, service_port, boxlist_port, store_port]
-    return Embedded(changed, [*engines, service, boxlist, store], ports)
+    ports = [*engine_ports, service_port, directory_port, store_port]
+    return Embedded(changed, [*engines, service, directory, store], ports)
 
 
 def _engine_row(name: str, port: int, hall: str, model: str, spec: EngineSpec) -> dict:
--- a/gladedrum/daemon/main.py
+++ b/gladedrum/daemon/main.py
@@ -68,7 +68,8 @@
     parser = argparse.ArgumentParser(
         prog="gladedrumd",
         description="Run a box of the gladedrum serving layer.",
-        epilog="Exit codes: 0 planned stop, 1 could not start, 2 invalid settings or usage.",
+        epilog="Exit codes: 0 planned stop, 1 could not start or failed, "
+        "2 invalid settings or usage.",
     )
     parser.add_argument("--config", required=True, metavar="FILE.ini", help="the settings")
     parser.add_argument("--check", action="store_true", help="only check the settings")
@@ -108,8 +109,8 @@
 
 def _forwarding_factory(args: argparse.Namespace) -> _BoxFactory:
     # Callers that connect during the remaining imports wait in the kernel's backlog instead of
-    # being refused. The socket is not opened earlier: a caller that waits longer is mostly late,
-    # while another box could serve it in time after a refusal.
+    # being refused. The socket is not opened earlier: a caller that waits longer would usually be
+    # answered too late, while another box could serve it in time after a refusal.
     early_socket = None if args.check else open_early_socket(callers_address(args.config))
     from ..forward.box import ForwardingBox
 
@@ -169,7 +170,8 @@
         try:
             cfg = load_settings(self._path)
             if forwards(self._path) != self._forwards:
-                # A file that is being rewritten may be empty, which would apply all defaults.
+                # A file that is being rewritten may be empty, which is valid: all defaults apply.
+                # A forwarding box rejects it here, since the default is the other kind of box.
                 raise ValueError("the kind of box has changed; restart to apply")
             if cfg != self._cfg:
                 self._box.reload(cfg)
@@ -195,7 +197,7 @@
         if failure.check(CannotListenError):
             _log.error("cannot start", extra={"reason": failure.getErrorMessage()})
         else:
-            _log.error("cannot start", extra={"reason": failure.getTraceback()})
+            _log.error("cannot start or continue", extra={"reason": failure.getTraceback()})
         if reactor.running:
             reactor.stop()
 
--- a/gladedrum/daemon/operators.py
+++ b/gladedrum/daemon/operators.py
@@ -31,7 +31,12 @@
 
 
 class TargetStatus(TypedDict):
-    """The state of a target that the box owns."""
+    """The state of a target that the box owns.
+
+    ``running`` and ``waiting`` count requests. ``reserved_tokens`` of its ``memory_tokens`` are
+    reserved. ``sessions_known`` is False until the target has listed its sessions; no request
+    starts there before. ``distrusted`` is True if it did not answer the last polls.
+    """
 
     target: str
     running: int
@@ -43,7 +48,11 @@
 
 
 class ListedTarget(TypedDict):
-    """A target in the platform's list, and the box that owns it."""
+    """A target in the platform's list, and the box that owns it.
+
+    ``kind`` is ``engine`` or ``service``; only engines have an owner, that of a service is empty.
+    ``leaving`` is True if the target is about to stop.
+    """
 
     name: str
     kind: str
@@ -52,7 +61,12 @@
 
 
 class BoxStatus(TypedDict):
-    """The state of a box, as ``/status`` returns it."""
+    """The state of a box, as ``/status`` returns it.
+
+    ``state`` is ``serving`` or ``draining``. ``peers`` are the other listed boxes, ``suspected``
+    those that did not answer. ``listed_targets`` are all targets of the fleet, ``targets`` those
+    that this box owns.
+    """
 
     box: str
     data_hall: str
--- a/gladedrum/daemon/start.py
+++ b/gladedrum/daemon/start.py
@@ -14,8 +14,8 @@
 def main(argv: list[str] | None = None) -> int:
     """Run a box until it is stopped; see `gladedrum.daemon.main.main`."""
     gc.disable()
-    # The default action of SIGHUP ends the process. No change of settings is missed before the box
-    # installs its own handler: the settings are read later, and polled.
+    # Ignore SIGHUP, whose default action ends the process, until the box installs its own handler.
+    # No change of settings is missed: they are read later, and then polled.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from .main import main as run
 
--- a/gladedrum/daemon/tests/test_clock.py
+++ b/gladedrum/daemon/tests/test_clock.py
@@ -93,11 +93,11 @@
     targets = TargetListFollower(reactor, NoFeed(), 2.0, lambda _entry: None, None)
     targets._note_confirmed(reactor.seconds())
     admission = Admission(configuration, KEY_BOUND_S, keys_expire=True)
-    late = []
-    reactor.callLater(8.0, late.append, True)
+    fired = []
+    reactor.callLater(8.0, fired.append, True)
     clocks.advance(10.0, suspended=True)
     clocks.step(-10.0)
     reactor.runUntilCurrent()
     assert not admission.keys_are_trusted
     assert targets.age_s == pytest.approx(10.0)
-    assert late
+    assert fired
--- a/gladedrum/daemon/tests/test_reload.py
+++ b/gladedrum/daemon/tests/test_reload.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gladedrum.daemon import main as daemon
-from gladedrum.daemon import start as entry
+from gladedrum.daemon import start as daemon_start
 from gladedrum.forward.settings import forward_settings
 
 GOOD = "[forward]\nenabled = yes\ncallers = 127.0.0.1:81\n"
@@ -26,8 +26,8 @@
     "invalid", ["", GOOD[: GOOD.index(".1:81")], GOOD + "no settings", GOOD + "nonsense = 1"]
 )
 def test_invalid_or_partial_settings_do_not_stop_the_box(tmp_path, invalid):
-    """Guards against a truncated address, which is found only while it is applied, and against an
-    empty file, which applied all defaults."""
+    """A truncated address is valid until the box applies it. An empty file is valid too, and must
+    not reset the box to the defaults."""
     path = tmp_path / "box.ini"
     path.write_text(GOOD)
     run = daemon._DaemonRun(daemon.load_settings(path), None, str(path))
@@ -45,7 +45,7 @@
     monkeypatch.setattr(daemon, "main", lambda _argv: handlers.append(_handler()) or 0)
     before = _handler()
     try:
-        entry.main([])
+        daemon_start.main([])
     finally:
         signal.signal(signal.SIGHUP, before)
         gc.enable()
--- a/gladedrum/daemon/tests/test_supervisor.py
+++ b/gladedrum/daemon/tests/test_supervisor.py
@@ -15,7 +15,7 @@
     async def run(self):
         self.starts += 1
         if self.starts <= self._failures:
-            raise RuntimeError("no luck")
+            raise RuntimeError("injected failure")
         try:
             await defer.Deferred()
         finally:
--- a/gladedrum/errors.py
+++ b/gladedrum/errors.py
@@ -42,7 +42,13 @@
 
 
 class ConfigError(GladedrumError):
-    """The settings are invalid; `findings` holds all problems."""
+    """The settings are invalid.
+
+    Parameters
+    ----------
+    findings : sequence of Finding
+        All problems; the message holds one line for each.
+    """
 
     def __init__(self, findings: Sequence[Finding]):
         self.findings = tuple(findings)
@@ -62,7 +68,11 @@
 
 
 class TargetUnreachableError(GladedrumError):
-    """The connection to the target could not be opened, so nothing was sent."""
+    """No connection to the target could be opened, whatever the reason, so nothing was sent.
+
+    Raised by the clients of the OpenAI interface; a forwarding box raises
+    `TargetNotListeningError` or `TargetBrokenError` instead.
+    """
 
 
 class TargetRefusedError(GladedrumError):
@@ -82,12 +92,18 @@
 
 
 class TargetBrokenError(GladedrumError):
-    """The connection to the target broke, or its answer does not match the request."""
+    """No valid answer came: the connection broke, or the answer was late, too long or malformed.
+
+    The call may have taken effect, except in subclasses that say otherwise.
+    """
 
 
 class TargetBackoffError(TargetBrokenError):
-    """The target has asked for a backoff, so nothing was sent."""
+    """The target has asked for a backoff, so nothing was sent and the call has no effect."""
 
 
 class TargetNotListeningError(TargetBrokenError):
-    """The target's address refuses connections, so no process listens there."""
+    """The target's address refuses connections, so no process listens there.
+
+    Unlike a lost connection, this shows that the target's process has stopped.
+    """
--- a/gladedrum/outcome.py
+++ b/gladedrum/outcome.py
@@ -73,7 +73,7 @@
     Parameters
     ----------
     reason : str
-        What was lost, as text for people.
+        Why it is not known whether the request ran, as text for people.
     status : HTTPStatus
         The HTTP status for the caller, 502 or 504.
     """
--- a/gladedrum/telemetry/__init__.py
+++ b/gladedrum/telemetry/__init__.py
@@ -1,6 +1,6 @@
-"""Telemetry of a box: JSON-lines logs, metrics and traces.
+"""Telemetry: JSON-lines logs of all boxes, metrics and traces of those with the OpenAI interface.
 
-Import `traces` by name: OpenTelemetry is slow to import, and only boxes that make spans need it.
+Import `traces` by name: OpenTelemetry is slow to import, and forwarding boxes do not need it.
 """
 
 from .logs import *
--- a/gladedrum/telemetry/logs.py
+++ b/gladedrum/telemetry/logs.py
@@ -25,7 +25,7 @@
 )
 
 _FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
-_RENAMED = {"asctime": "time", "levelname": "level", "name": "logger"}
+_RENAMED_FIELDS = {"asctime": "time", "levelname": "level", "name": "logger"}
 
 MAX_BUFFERED_LINES = 2000
 """Maximum number of lines buffered for a slow reader; further lines are dropped and counted."""
@@ -99,7 +99,9 @@
     """
     handler = logging.StreamHandler(stream or BoundedLineStream(sys.stdout.fileno()))
     handler.setFormatter(
-        JsonFormatter(_FIELDS, rename_fields=_RENAMED, static_fields={"box": box}, timestamp=False)
+        JsonFormatter(
+            _FIELDS, rename_fields=_RENAMED_FIELDS, static_fields={"box": box}, timestamp=False
+        )
     )
     root = logging.getLogger()
     root.handlers[:] = [handler]
--- a/gladedrum/telemetry/metrics.py
+++ b/gladedrum/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of a box.
+"""Prometheus metrics of a box that serves the OpenAI interface.
 
 Each `Metrics` has its own registry, so that several boxes can run in one process.
 """
@@ -30,7 +30,7 @@
 
 
 class Metrics:
-    """All metrics that a box exports."""
+    """All metrics that such a box exports; those of a forwarding box are in `ForwardMetrics`."""
 
     def __init__(self) -> None:
         registry = CollectorRegistry()
--- a/gladedrum/telemetry/traces.py
+++ b/gladedrum/telemetry/traces.py
@@ -110,7 +110,7 @@
 
 
 def header_of_span(span: Span) -> str:
-    """Return the ``traceparent`` header that propagates `span`, or an empty string."""
+    """Return the ``traceparent`` header that propagates `span`; empty if its context is invalid."""
     carrier: dict[str, str] = {}
     _propagator.inject(carrier, set_span_in_context(span, Context()))
     return carrier.get("traceparent", "")
--- a/gladedrum/utils/clock.py
+++ b/gladedrum/utils/clock.py
@@ -24,6 +24,6 @@
 
     By default, Twisted uses the wall clock. The kernel times the wait for the next event on the
     monotonic clock, so a timer that came due during a suspension fires with the next event after
-    it. In a box that is within half a second, the interval of its calls to peers.
+    it. In a forwarding box that is within half a second, the interval of its calls to peers.
     """
     reactor.seconds = elapsed_s
--- a/gladedrum/utils/http.py
+++ b/gladedrum/utils/http.py
@@ -22,8 +22,8 @@
 __all__ = ["JsonReply", "LostAnswerError", "NotSentError", "WebClient"]
 
 _CONNECT_TIMEOUT_S = 2.0
-# Shorter than the idle timeout of common servers, so that no request is sent on a pooled connection
-# while the server closes it.
+# How long a pooled connection may be idle: less than the idle timeout of common servers, so that no
+# request is sent on a connection that the server is closing.
 _IDLE_CONNECTION_S = 15.0
 _CONNECTIONS_PER_HOST = 64
 
@@ -93,10 +93,12 @@
         LostAnswerError
             If the connection broke or the timeout expired after that.
         """
-        sent = {"content-type": "application/json", **(headers or {})}
+        all_headers = {"content-type": "application/json", **(headers or {})}
         data = body if isinstance(body, bytes) or body is None else json.dumps(body).encode()
         try:
-            call = self._client.request(method, url, data=data, headers=sent, unbuffered=True)
+            call = self._client.request(
+                method, url, data=data, headers=all_headers, unbuffered=True
+            )
             return await with_timeout(self._reactor, timeout_s, call)
         except (error.ConnectError, error.DNSLookupError, RequestNotSent) as exc:
             raise NotSentError(f"{url}: {exc}") from exc
@@ -120,10 +122,10 @@
         response = await self.send(method, url, body, headers, timeout_s)
         raw = await self.read(response, timeout_s)
         try:
-            headers = {
+            reply_headers = {
                 name.lower(): values[-1] for name, values in response.headers.getAllRawHeaders()
             }
-            return JsonReply(response.code, json.loads(raw), headers)
+            return JsonReply(response.code, json.loads(raw), reply_headers)
         except ValueError as exc:
             raise LostAnswerError(f"{url}: {exc!r}") from exc
 
--- a/gladedrum/utils/listening.py
+++ b/gladedrum/utils/listening.py
@@ -76,7 +76,7 @@
 def open_early_socket(address: tuple[str, int] | None) -> socket.socket | None:
     """Open a listening socket whose connections are accepted later.
 
-    Returns None without an address, or if the socket cannot be opened: a `Listener` then meets the
+    Returns None without an address, or if the socket cannot be opened: a `Listener` then gets the
     same error and reports it.
     """
     if address is None:
--- a/gladedrum/utils/timing.py
+++ b/gladedrum/utils/timing.py
@@ -51,14 +51,14 @@
         HTTP client fails with its own error when it is cancelled, which would look like a broken
         connection and be retried.
     """
-    fut = awaitable if isinstance(awaitable, defer.Deferred) else start(awaitable)
-    fut.addTimeout(max(0.0, timeout_s), clock, onTimeoutCancel=_raise_timeout)
+    deferred = awaitable if isinstance(awaitable, defer.Deferred) else start(awaitable)
+    deferred.addTimeout(max(0.0, timeout_s), clock, onTimeoutCancel=_raise_timeout)
     cancelled = False
 
     def cancel(_outer: defer.Deferred[T]) -> None:
         nonlocal cancelled
         cancelled = True
-        fut.cancel()
+        deferred.cancel()
 
     outer: defer.Deferred[T] = defer.Deferred(cancel)
 
@@ -66,7 +66,7 @@
         if not cancelled:
             outer.callback(result)
 
-    fut.addBoth(forward_result)
+    deferred.addBoth(forward_result)
     return await outer
 
 
@@ -74,12 +74,12 @@
     raise TimeoutError(f"no answer within {timeout_s:g} s")
 
 
-def backoff_s(attempt: int, first_s: float, max_s: float, rng: random.Random) -> float:
-    """Return the delay before attempt `attempt`, counted from 1: exponential with full jitter.
+def backoff_s(failed_attempts: int, first_s: float, max_s: float, rng: random.Random) -> float:
+    """Return the delay after 1 or more failed attempts: exponential with full jitter.
 
     Examples
     --------
     >>> 0 <= backoff_s(3, 0.1, 10.0, random.Random(1)) <= 0.4
     True
     """
-    return rng.uniform(0, min(max_s, first_s * 2 ** (attempt - 1)))
+    return rng.uniform(0, min(max_s, first_s * 2 ** (failed_attempts - 1)))
