--- a/gladedrum/claims/core.py
+++ b/gladedrum/claims/core.py
@@ -14,7 +14,7 @@
 from ..errors import KVUnavailableError, KVUnknownError
 from ..outcome import Completed, Failed, NotRun, Outcome, Unknown
 from ..platform import StoreClient
-from ..utils import backoff_s, sleep, start
+from ..utils import retry_delay_s, sleep, start
 from .buckets import Applied, Claim, ClaimKey, ClaimState, HeldByOther, RecordOutcome
 from .shard import ClaimShard, ShardLimits
 
@@ -179,7 +179,9 @@
                 await self._shard(digest).submit(RecordOutcome(digest, claim))
                 return
             except (KVUnavailableError, KVUnknownError):
-                pause_s = backoff_s(attempt, _RECORD_FIRST_DELAY_S, _RECORD_MAX_DELAY_S, self._rng)
+                pause_s = retry_delay_s(
+                    attempt, _RECORD_FIRST_DELAY_S, _RECORD_MAX_DELAY_S, self._rng
+                )
                 await sleep(self._clock, pause_s)
         _log.error(
             "outcome of a claimed request not recorded", extra={"request_id": claim.request_id}
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -10,8 +10,8 @@
 from ..claims import Claims
 from ..config import Settings
 from ..config.operator_token import OPERATOR_TOKEN
-from ..entry import EntrySite, Placer, RunContext
-from ..entry.body import CallerSite
+from ..entry import CallerRoutes, Placer, RunContext
+from ..entry.body import LimitedSite
 from ..entry.connections import TrackedConnections
 from ..entry.retries import RetryBudget
 from ..entry.services import ServiceRouter
@@ -109,7 +109,7 @@
         self._placer = Placer(reactor, cfg, self.membership, self._gateway)
         self.membership.on_change = self._placer.schedule_hand_over
         self.entry = self._make_entry(cfg)
-        site = CallerSite(reactor, self.entry.app.resource(), cfg)
+        site = LimitedSite(reactor, self.entry.app.resource(), cfg)
         self._caller_connections = TrackedConnections(site, reactor)
         self._callers = Listener("callers", self._listen_callers, self._cannot_listen)
         self._operators = Listener("operators", self._listen_operators, self._cannot_listen)
@@ -177,7 +177,7 @@
                     sessions_known=owner.sessions_known,
                     distrusted=owner.distrusted,
                 )
-                for owner in self.owners.owned()
+                for owner in self.owners.all_owners()
             ],
         )
 
@@ -205,7 +205,7 @@
     def _count_restart(self, child: str) -> None:
         self.metrics.child_restarts.labels(child).inc()
 
-    def _make_entry(self, cfg: Settings) -> EntrySite:
+    def _make_entry(self, cfg: Settings) -> CallerRoutes:
         ctx = RunContext(
             box=self.membership.me.name,
             clock=self._reactor,
@@ -224,7 +224,7 @@
             self._traces,
         )
         claims = Claims(cfg, self.kv, self._reactor, self.membership.me.name, self.owners.now_s)
-        return EntrySite(
+        return CallerRoutes(
             cfg,
             ctx,
             self.membership,
--- a/gladedrum/entry/__init__.py
+++ b/gladedrum/entry/__init__.py
@@ -1,6 +1,6 @@
 """The caller-facing side of a box: HTTP interface, validation and the processing of requests.
 
-`EntrySite` serves the HTTP routes. A `CompletionRun` takes one request from its arrival to its
+`CallerRoutes` serves the HTTP routes. A `CompletionRun` takes one request from its arrival to its
 outcome: a `Placer` reserves targets, and an attempt sends the request to them.
 """
 
--- a/gladedrum/entry/attempt.py
+++ b/gladedrum/entry/attempt.py
@@ -26,7 +26,7 @@
     split_prompt,
 )
 from ..telemetry.traces import header_of_span
-from ..utils import WebClient, backoff_s, sleep
+from ..utils import WebClient, retry_delay_s, sleep
 from .lifecycle import Lifecycle
 from .placement import Placer, Reservation
 
@@ -243,7 +243,7 @@
         max_resumes = 1 if self._may_repeat else _MAX_RESUMES
         while resumes < max_resumes and not self._segment_lost():
             if resumes:
-                pause_s = backoff_s(
+                pause_s = retry_delay_s(
                     resumes, _RESUME_FIRST_DELAY_S, _RESUME_MAX_DELAY_S, self._ctx.rng
                 )
                 await sleep(self._ctx.clock, pause_s)
@@ -332,7 +332,7 @@
                 # its owner cancels it as an orphan.
                 return
             except TargetBrokenError:
-                pause_s = backoff_s(
+                pause_s = retry_delay_s(
                     cancel_number, _CANCEL_FIRST_DELAY_S, _CANCEL_MAX_DELAY_S, self._ctx.rng
                 )
                 await sleep(self._ctx.clock, pause_s)
--- a/gladedrum/entry/body.py
+++ b/gladedrum/entry/body.py
@@ -10,7 +10,7 @@
 
 from ..config import Item, Settings
 
-__all__ = ["BODY_TIME", "MAX_BODY", "CallerSite"]
+__all__ = ["BODY_TIME", "MAX_BODY", "LimitedSite"]
 
 MAX_BODY = Item(
     "entry", "max_body_bytes", 16_000_000, "The largest request body that is taken.",
@@ -52,7 +52,7 @@
     _timer: IDelayedCall | None = None
 
     def gotLength(self, length: int | None) -> None:
-        site: CallerSite = self.channel.site
+        site: LimitedSite = self.channel.site
         self.content = _BoundedBody(site.max_body_bytes)
         self._timer = site.reactor.callLater(site.body_time_s, self._on_body_timeout)
 
@@ -101,7 +101,7 @@
         self._timer = None
 
 
-class CallerSite(Site):
+class LimitedSite(Site):
     """A site that limits the size and the arrival time of request bodies.
 
     Parameters
--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -17,7 +17,7 @@
 from ..targets import Piece
 from ..telemetry import Metrics, length_class, request_logger
 from ..telemetry.traces import Traces, context_from_header, header_of_span
-from ..utils import WebClient, backoff_s, sleep, start, with_timeout
+from ..utils import WebClient, retry_delay_s, sleep, start, with_timeout
 from .attempt import Attempt, AttemptContext, Sink
 from .lifecycle import new_lifecycle
 from .placement import Placer, Reservation
@@ -204,7 +204,7 @@
                 return self._lifecycle.outcome_if_ended(
                     "the targets did not serve it, and no retry is left"
                 )
-            pause_s = backoff_s(
+            pause_s = retry_delay_s(
                 self._attempt_count, _RETRY_FIRST_DELAY_S, _RETRY_MAX_DELAY_S, self._ctx.rng
             )
             await sleep(self._ctx.clock, pause_s)
--- a/gladedrum/entry/site.py
+++ b/gladedrum/entry/site.py
@@ -41,7 +41,7 @@
 from .run import CompletionRun, RunContext
 from .services import ServiceCall, ServiceRouter, no_such_service
 
-__all__ = ["API_KEYS", "CALLER_HOST", "CALLER_PORT", "IDENTIFY_BY", "EntrySite"]
+__all__ = ["API_KEYS", "CALLER_HOST", "CALLER_PORT", "IDENTIFY_BY", "CallerRoutes"]
 
 CALLER_HOST = Item("entry", "host", "127.0.0.1", "The IP number on which callers are served.")
 CALLER_PORT = Item(
@@ -66,7 +66,7 @@
 claim without a recorded outcome stays in doubt until it expires."""
 
 
-class EntrySite:
+class CallerRoutes:
     """The HTTP routes for callers.
 
     Parameters
--- a/gladedrum/targets/owners.py
+++ b/gladedrum/targets/owners.py
@@ -125,7 +125,7 @@
         for owner in self._owners.values():
             owner.refuse_waiting(LEAVING_REASON)
 
-    def owned(self) -> Iterable[TargetOwner]:
+    def all_owners(self) -> Iterable[TargetOwner]:
         """Return all owners, for status output."""
         return self._owners.values()
 
--- a/gladedrum/utils/supervisor.py
+++ b/gladedrum/utils/supervisor.py
@@ -8,7 +8,7 @@
 from twisted.internet import defer
 from twisted.internet.interfaces import IReactorTime
 
-from . import backoff_s, sleep, start
+from . import retry_delay_s, sleep, start
 
 __all__ = ["Child", "Supervisor"]
 
@@ -91,6 +91,6 @@
                 _log.exception("child failed", extra={"child": child.name})
             stable = self._clock.seconds() - started_s > _STABLE_S
             failures = 1 if stable else failures + 1
-            delay_s = backoff_s(failures, _FIRST_BACKOFF_S, _MAX_BACKOFF_S, self._rng)
+            delay_s = retry_delay_s(failures, _FIRST_BACKOFF_S, _MAX_BACKOFF_S, self._rng)
             await sleep(self._clock, delay_s)
             self._on_restart(child.name)
--- a/gladedrum/utils/timing.py
+++ b/gladedrum/utils/timing.py
@@ -7,7 +7,7 @@
 from twisted.internet import defer, task
 from twisted.internet.interfaces import IReactorTime
 
-__all__ = ["backoff_s", "repeat", "sleep", "start", "with_timeout"]
+__all__ = ["repeat", "retry_delay_s", "sleep", "start", "with_timeout"]
 
 T = TypeVar("T")
 
@@ -74,12 +74,12 @@
     raise TimeoutError(f"no answer within {timeout_s:g} s")
 
 
-def backoff_s(failed_attempts: int, first_s: float, max_s: float, rng: random.Random) -> float:
+def retry_delay_s(failed_attempts: int, first_s: float, max_s: float, rng: random.Random) -> float:
     """Return the delay after 1 or more failed attempts: exponential with full jitter.
 
     Examples
     --------
-    >>> 0 <= backoff_s(3, 0.1, 10.0, random.Random(1)) <= 0.4
+    >>> 0 <= retry_delay_s(3, 0.1, 10.0, random.Random(1)) <= 0.4
     True
     """
     return rng.uniform(0, min(max_s, first_s * 2 ** (failed_attempts - 1)))
