--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -19,7 +19,7 @@
 from benchmarks.measure import fit, loopback_bytes, resident_bytes, save
 from gladedrum.claims import Claim, ClaimKey, ClaimShard, ClaimState, ShardLimits
 from gladedrum.config import Settings
-from gladedrum.daemon.box import BoxProcess  # noqa: F401 - imports all modules of a box
+from gladedrum.daemon.box import OpenAIBox  # noqa: F401 - imports all modules of a box
 from gladedrum.peers import Membership, PeerHandler, PeerLink, listen_for_peers, record_of_job
 from gladedrum.platform import Box, Directory, StoredItem, Target
 from gladedrum.platform.directory import _parse_rows
--- a/gladedrum/daemon/box.py
+++ b/gladedrum/daemon/box.py
@@ -54,7 +54,7 @@
     TargetStatus,
 )
 
-__all__ = ["BoxProcess"]
+__all__ = ["OpenAIBox"]
 
 PEER_TIMEOUT_S = 1.0
 """Timeout of calls that ask a peer for its table, or for the table's revision."""
@@ -62,7 +62,7 @@
 _log = logging.getLogger(__name__)
 
 
-class BoxProcess:
+class OpenAIBox:
     """A box that serves the OpenAI interface.
 
     Parameters
--- a/gladedrum/daemon/main.py
+++ b/gladedrum/daemon/main.py
@@ -121,7 +121,7 @@
 
 
 def _openai_factory() -> _BoxFactory:
-    from .box import BoxProcess
+    from .box import OpenAIBox
     from .embedded import EMBEDDED, start_embedded
 
     async def prepare(cfg: Settings) -> Settings:
@@ -131,7 +131,7 @@
         reactor.addSystemEventTrigger("during", "shutdown", embedded.stop)
         return embedded.cfg
 
-    return _BoxFactory(prepare, BoxProcess)
+    return _BoxFactory(prepare, OpenAIBox)
 
 
 class _DaemonRun:
