--- a/gladedrum/config/__init__.py
+++ b/gladedrum/config/__init__.py
@@ -1,4 +1,7 @@
-"""Settings: declared next to the code that uses them, read from an INI file and validated there."""
+"""Settings: declared next to the code that uses them, and read from an INI file.
+
+A file is validated as a whole.
+"""
 
 from .core import *
 from .core import __all__ as _core_all
--- a/gladedrum/config/core.py
+++ b/gladedrum/config/core.py
@@ -2,7 +2,7 @@
 
 A module that needs a setting declares an `Item` at import time and later gets its value from a
 `Settings` object. `load_settings` validates a whole file against all declared items and reports
-all findings (errors) together, each with file, section and key.
+all errors together, each as a `Finding` with file, section and key.
 
 Examples
 --------
@@ -26,6 +26,7 @@
 
 _BOOLEANS = configparser.ConfigParser.BOOLEAN_STATES
 _items: dict[tuple[str, str], "Item"] = {}
+"""All declared items, by section and key."""
 
 
 @dataclass(frozen=True)
--- a/gladedrum/config/operator_token.py
+++ b/gladedrum/config/operator_token.py
@@ -1,4 +1,4 @@
-"""The token that operators need to edit the table of weights and limits, or to lift a refusal."""
+"""The token that operators need to edit the table, or to allow a condemned request again."""
 
 import hmac
 
--- a/gladedrum/config/render.py
+++ b/gladedrum/config/render.py
@@ -13,7 +13,11 @@
     for section, items in itertools.groupby(declared_items(), key=lambda item: item.section):
         lines += ["", f"[{section}]"]
         for item in items:
-            lines += [f"# {item.description}", f"# {_facts(item)}", f"#{item.key} = {_text(item)}"]
+            lines += [
+                f"# {item.description}",
+                f"# {_constraints(item)}",
+                f"#{item.key} = {_default(item)}",
+            ]
     return "\n".join(lines) + "\n"
 
 
@@ -24,13 +28,13 @@
         lines += ["", f"## [{section}]", "", "| key | type | default | meaning |"]
         lines += ["| --- | --- | --- | --- |"]
         lines += [
-            f"| `{item.key}` | {_facts(item)} | `{_text(item)}` | {item.description} |"
+            f"| `{item.key}` | {_constraints(item)} | `{_default(item)}` | {item.description} |"
             for item in items
         ]
     return "\n".join(lines) + "\n"
 
 
-def _facts(item: Item) -> str:
+def _constraints(item: Item) -> str:
     parts = [item.type_name]
     if item.unit:
         parts.append(f"in {item.unit}")
@@ -43,7 +47,7 @@
     return ", ".join(parts)
 
 
-def _text(item: Item) -> str:
+def _default(item: Item) -> str:
     match item.default:
         case bool():
             return "yes" if item.default else "no"
--- a/gladedrum/fleet/core.py
+++ b/gladedrum/fleet/core.py
@@ -37,7 +37,7 @@
 
 
 class TargetReport(NamedTuple):
-    """A target's report on its load; already some hundred milliseconds old when it is returned.
+    """A target's report on its load; some hundred milliseconds old when the target sends it.
 
     Parameters
     ----------
--- a/gladedrum/gossip/port.py
+++ b/gladedrum/gossip/port.py
@@ -2,7 +2,17 @@
 
 They are hints for placement, so a lost, late or duplicated datagram does no harm. Each datagram
 is a Thrift `Gossip` struct in the compact protocol; its lists hold notes (statements), asks
-(questions) and grants or other answers to these.
+(questions) and grants or other answers to these. Terms:
+
+- *peers*: the members of the coordinator group, which track the work of all targets and decide on
+  placements for the other boxes (deciders).
+- *work*: one attempt of a request on its targets, from its placement to its end.
+- *repeat*: a retry, taken from the fleet's retry budget.
+- *place*: a permit to send one request to a target with a rate limit. One box grants the permits
+  for all boxes.
+- *vouch*: name the versions of the target list, the configuration and the table that a box knows
+  from the store, so that the asking box can confirm its own.
+- *loss*: a request that was lost on a target, and may have crashed it.
 """
 
 import logging
@@ -39,11 +49,12 @@
 __all__ += ["GossipPort", "decode", "encode", "is_shutdown_notice"]
 
 PLACED, FIRST_EVENT, ENDED, FAILED, WITHDRAWN, OVERDUE = 1, 2, 3, 4, 5, 6
-"""The changes of state that a `WorkNote` reports. `WITHDRAWN` ends work without evidence for or
-against its target. `OVERDUE` work still runs but has missed the objective for its answer."""
+"""The changes of state that a `WorkNote` reports. `WITHDRAWN` ends work that counts neither
+as a success nor as a failure of its target. `OVERDUE` work still runs but has missed the objective
+for its answer."""
 
 BATCH_DELAY_S = 0.004
-"""How long notes other than of a placement are collected into one datagram, in seconds."""
+"""How long notes are collected into one datagram, in seconds; placements are sent at once."""
 
 LOSSES_PER_DATAGRAM = 12
 """At some 80 bytes each, they fit into one IP packet on any link, without fragmentation."""
@@ -75,13 +86,13 @@
     return gossip
 
 
-def is_shutdown_notice(told: Gossip) -> bool:
+def is_shutdown_notice(gossip: Gossip) -> bool:
     """Whether the sender shuts down now and this is its last message.
 
-    Boxes of earlier versions announce that they are leaving seconds before they shut down, always
-    in messages that have lists of notes, which may be empty.
+    A message that is marked as leaving but has lists of notes, even empty ones, is no such notice:
+    boxes of earlier versions send it seconds before they shut down.
     """
-    return bool(told.leaving) and told.work is None and told.reports is None
+    return bool(gossip.leaving) and gossip.work is None and gossip.reports is None
 
 
 class GossipPort(protocol.DatagramProtocol):
@@ -94,7 +105,7 @@
     clock : IReactorTime
         Times the batches of notes.
     peers : callable
-        Returns the addresses of the boxes that receive notes of all work.
+        Returns the addresses of the other members of the coordinator group.
     all_boxes : callable
         Returns the addresses of all listed boxes; this box announces itself to them.
     receive : callable
@@ -141,7 +152,7 @@
         self._flush_soon()
 
     def send_losses(self, notes: list[LossNote], address: tuple[str, int] | None = None) -> None:
-        """Send which requests were lost with which targets, to one box or to all peers."""
+        """Send losses and their verdicts to one box or to all peers."""
         for first in range(0, len(notes), LOSSES_PER_DATAGRAM):
             part = Gossip(self._box, losses=notes[first : first + LOSSES_PER_DATAGRAM])
             for peer in self._peers() if address is None else [address]:
@@ -156,13 +167,13 @@
         """Tell all boxes that a target is leaving.
 
         This includes boxes that receive no notes of work, since these place requests themselves
-        when no decider answers.
+        when no member of the coordinator group answers.
         """
         for address in {*self._peers(), *self._all_boxes()}:
             self._send(address, Gossip(self._box, leaving_targets=[note]))
 
     def send_spent(self, address: tuple[str, int], note: SpentNote) -> None:
-        """Tell the box that enforces a target's rate what was sent there without a place."""
+        """Report a call sent without a place to the box that enforces the target's rate limit."""
         self._send(address, Gossip(self._box, spent=[note]))
 
     def announce_box(self) -> None:
@@ -179,7 +190,7 @@
     def announce_shutdown(self) -> None:
         """Announce to all peers that this box shuts down now, and send nothing else afterwards.
 
-        Otherwise peers would go on asking it for placements, each waiting for the timeout, and
+        Otherwise peers would go on asking it for placements, each time until the timeout, and
         rely on it to read reports.
         """
         if not self._shutting_down:
@@ -198,11 +209,11 @@
         self._send(address, Gossip(self._box, choices=[note]))
 
     def ask_vouch(self, address: tuple[str, int], note: VouchAsk) -> None:
-        """Ask one box what it knows from the store and how old that is."""
+        """Ask one box for the versions that it knows from the store, and their ages."""
         self._send(address, Gossip(self._box, vouch_asks=[note]))
 
     def vouch(self, address: tuple[str, int], note: VouchNote) -> None:
-        """Answer a box that asked what this one knows from the store."""
+        """Answer a box that asked for the versions that this one knows from the store."""
         self._send(address, Gossip(self._box, vouches=[note]))
 
     def send_list_part(self, address: tuple[str, int], part: ListPart) -> None:
--- a/gladedrum/peers/__init__.py
+++ b/gladedrum/peers/__init__.py
@@ -1,6 +1,7 @@
 """Calls between boxes: the Thrift interface, liveness of boxes, and ownership of targets.
 
-The owner of a target is the box that keeps its queue.
+The owner of a target is the box that keeps its queue. Boxes that serve the OpenAI interface use
+this package; boxes that forward requests inform each other by the datagrams of `gossip`.
 """
 
 from .link import *
--- a/gladedrum/peers/link.py
+++ b/gladedrum/peers/link.py
@@ -36,7 +36,7 @@
 
 
 class PeerLostError(GladedrumError):
-    """The other box did not answer."""
+    """A call to another box failed or was not answered."""
 
 
 class PeerLink:
@@ -93,7 +93,7 @@
             Its arguments.
         timeout_s : float, optional
             Maximum wait for the answer, in seconds. Without it, the call fails only when the
-            connection is lost or a heartbeat is not answered.
+            connection cannot be opened, is lost, or does not answer a heartbeat.
 
         Raises
         ------
--- a/gladedrum/peers/membership.py
+++ b/gladedrum/peers/membership.py
@@ -1,8 +1,9 @@
 """Which boxes are alive, and which box owns which target.
 
-The platform's list lags behind reality, so a box corrects it by its own observations: a peer
-that did not answer is suspected until it answers a heartbeat again. Two boxes may therefore
-disagree for a while on who owns a target. This costs efficiency but violates no guarantee.
+The platform's directory of boxes and targets lags behind reality, so a box corrects it by its own
+observations: a peer that did not answer is suspected until it answers a heartbeat again. Two boxes
+may therefore disagree for a while on who owns a target. Each then keeps a queue for the target,
+which costs efficiency but violates no guarantee.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,7 +19,7 @@
 PEER_PORT = Item("peers", "port", 7070, "The TCP port for other boxes.", minimum=0, maximum=65_535)
 
 _LEAVING_MARK_TTL_S = 30.0
-"""How long a box that said it is leaving is left out, in seconds; it may restart by then."""
+"""How long a box that said it is leaving owns no targets, in seconds; it may restart by then."""
 
 _MAX_UNLISTED_BOXES = 1_000
 """How many boxes that have left the list are remembered; more than a large fleet has."""
@@ -59,7 +60,7 @@
         self._leaving_until_s: dict[str, float] = {}
         self._elapsed = elapsed
         self._owners: dict[str, Box] = {}
-        self._live: tuple[dict[str, Box], dict[str, list[str]]] | None = None
+        self._live_cache: tuple[dict[str, Box], dict[str, list[str]]] | None = None
 
     def update(self, directory: Directory) -> None:
         """Replace the directory by a newer list from the platform."""
@@ -100,13 +101,13 @@
 
     def _live_by_hall(self) -> tuple[dict[str, Box], dict[str, list[str]]]:
         """Return the live boxes by name, and their names by data hall."""
-        if self._live is None:
+        if self._live_cache is None:
             live = {b.name: b for b in self.live_boxes()}
             by_hall: dict[str, list[str]] = {}
             for box in live.values():
                 by_hall.setdefault(box.data_hall, []).append(box.name)
-            self._live = (live, by_hall)
-        return self._live
+            self._live_cache = (live, by_hall)
+        return self._live_cache
 
     def _expire_leaving_marks(self) -> None:
         now_s = self._elapsed()
@@ -118,7 +119,7 @@
 
     def _owners_changed(self) -> None:
         self._owners.clear()
-        self._live = None
+        self._live_cache = None
         self.on_change()
 
     @property
@@ -149,13 +150,16 @@
         ]
 
     def owner_of(self, target: Target) -> Box:
-        """Return the box that owns a target, preferably one in the target's data hall."""
+        """Return the box that owns a target: a live box, if possible in the target's data hall.
+
+        If no box is live, as when the only box is leaving, this box owns the target.
+        """
         self._expire_leaving_marks()
         owner = self._owners.get(target.name)
         if owner is None:
             live, by_hall = self._live_by_hall()
             candidates = by_hall.get(target.data_hall) or live
-            name = max(candidates, key=lambda box: rendezvous_score(target.name, box), default=None)
+            name = max(candidates, key=lambda n: rendezvous_score(target.name, n), default=None)
             owner = live.get(name, self.me)
             self._owners[target.name] = owner
         return owner
--- a/gladedrum/peers/ownership.py
+++ b/gladedrum/peers/ownership.py
@@ -35,7 +35,7 @@
     peers : Peers
         Links to other boxes.
     owners : OwnerCalls
-        The owners on this box, called directly.
+        The queues that this box keeps as the owner of targets; called directly.
     metrics : Metrics
         Counts calls.
     """
@@ -131,7 +131,7 @@
         self._peers.link(owner).send("renew", target.name, records)
 
     def renew(self, held: Iterable[tuple[Target, str]]) -> None:
-        """Tell the owners which requests of this box still run, in one message per box."""
+        """Renew the reservations of this box's requests, in one message per owner."""
         by_owner: defaultdict[Box, list[tuple[str, str]]] = defaultdict(list)
         for target, job_id in held:
             by_owner[self._membership.owner_of(target)].append((target.name, job_id))
@@ -146,6 +146,8 @@
     async def live_sessions(self, box: str, session_ids: list[str]) -> list[str] | None:
         """Return which of the sessions a box still waits for; None if that is unknown.
 
+        A session is an attempt that runs on an engine; the box that relays its answer waits for it.
+
         A box that the platform no longer lists is asked too, since it may be stopping and still
         be relaying answers; if it does not answer, it waits for none. A listed box that does not
         answer may be frozen or unreachable, so its sessions are unknown.
@@ -155,11 +157,11 @@
         if_lost = None
         if self._membership.directory_read and self._membership.box(box) is None:
             if_lost = []
-        row = self._membership.last_known_box(box)
-        if row is None:
+        entry = self._membership.last_known_box(box)
+        if entry is None:
             return if_lost
         try:
-            link = self._peers.link(row)
+            link = self._peers.link(entry)
             return await link.call("live_sessions", session_ids, timeout_s=QUOTE_TIMEOUT_S)
         except PeerLostError:
             return if_lost
--- a/gladedrum/peers/server.py
+++ b/gladedrum/peers/server.py
@@ -34,7 +34,7 @@
 
 
 class OwnerCalls(Protocol):
-    """Calls to the targets' owners on this box, made by other boxes and by the box itself."""
+    """Calls to the queues of the targets that this box owns, made by all boxes."""
 
     def now_s(self) -> float:
         """Return the time of the decision clock, in seconds."""
@@ -49,7 +49,7 @@
         """Record that a request's first token has arrived."""
 
     def release(self, target: str, job_id: str) -> None:
-        """Release a request's reservation."""
+        """Release a request's reservation, or remove it from the queue."""
 
     def renew(self, target: str, job: Job, policy: str) -> None:
         """Renew a request's reservation."""
@@ -63,16 +63,16 @@
 
 @implementer(Peer.Iface)
 class PeerHandler:
-    """Turns calls of other boxes into calls of this box's owners.
+    """Serves the calls of other boxes from the queues and the table of this box.
 
     Parameters
     ----------
     name : str
         The name of this box.
     owners : OwnerCalls
-        Its owners.
+        The queues of the targets that this box owns.
     table : TableCalls
-        Its table.
+        The table in force on this box.
     traces : Traces
         Records a span for each reservation.
     """
@@ -85,14 +85,14 @@
 
     def quote(self, targets: list[str], job: JobRecord) -> list[QuoteRecord]:
         """Answer with quotes for the named targets."""
-        own = job_from_record(job, self._owners.now_s())
-        return [record_of_quote(t, self._owners.quote(t, own, job.policy)) for t in targets]
+        local_job = job_from_record(job, self._owners.now_s())
+        return [record_of_quote(t, self._owners.quote(t, local_job, job.policy)) for t in targets]
 
     def reserve(
         self, target: str, job: JobRecord, traceparent: str
     ) -> defer.Deferred[ReserveRecord]:
         """Answer once the request is granted or refused."""
-        own = job_from_record(job, self._owners.now_s())
+        local_job = job_from_record(job, self._owners.now_s())
         context = context_from_header(traceparent)
         span = self._traces.tracer.start_span("owner", context=context)
         span.set_attribute("gladedrum.target", target)
@@ -101,15 +101,15 @@
             span.end()
             return answer
 
-        waiting = self._owners.reserve(target, own, job.policy)
+        waiting = self._owners.reserve(target, local_job, job.policy)
         return waiting.addBoth(end).addCallback(record_of_reserve)
 
     def first_token(self, target: str, job_id: str) -> None:
-        """Tell this box's owner that a request's first token has arrived."""
+        """Record that a request's first token has arrived."""
         self._owners.first_token(target, job_id)
 
     def release(self, target: str, job_id: str) -> None:
-        """Tell this box's owner that a request has ended."""
+        """Release a request's reservation, or remove it from the queue."""
         self._owners.release(target, job_id)
 
     def renew(self, target: str, jobs: list[JobRecord]) -> None:
--- a/gladedrum/peers/tests/test_stopping.py
+++ b/gladedrum/peers/tests/test_stopping.py
@@ -22,7 +22,7 @@
 
 
 class _Owners:
-    """The owners on this box: a request waits until `waiting` fires."""
+    """Replaces the queues of this box: a request waits until `waiting` fires."""
 
     def __init__(self):
         self.waiting = defer.Deferred()
@@ -38,7 +38,7 @@
 
 
 class _Links:
-    """Links to other boxes; `answers` holds a function for each method."""
+    """Replaces the links to all other boxes; `answers` holds a function for each method."""
 
     def __init__(self, **answers):
         self.answers, self.called = answers, []
--- a/gladedrum/routes/core.py
+++ b/gladedrum/routes/core.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which services, and their limits and objectives.
+    """Sends requests with a host and path prefix to services, with limits and objectives.
 
     Parameters
     ----------
@@ -46,11 +46,11 @@
     services : tuple of ServiceShare
         The services to which its requests go.
     repeatable : bool
-        Whether a request may run more than once.
+        Whether a request that is not streamed may run more than once; see `idempotent`.
     streaming : bool
         Whether the answer is a series of events.
     resumable : bool
-        Whether another target may resume a stream after a given event id.
+        Whether another target may resume a stream after a given event id; see `idempotent`.
     time_limit_s : float
         The maximum time that a request may be held, in seconds.
     objective_s : float
@@ -60,7 +60,7 @@
     rank : int
         The priority; 0 is the most urgent.
     max_targets : int
-        The maximum number of targets that may run one request.
+        The maximum number of targets that may run one request, one after another or at once.
     anonymous : bool
         Whether a request needs no API key.
     """
@@ -147,18 +147,18 @@
         by_prefix = {(route.host.lower(), route.path_prefix): route for route in self.routes}
         object.__setattr__(self, "_by_prefix", by_prefix)
 
-    def find(self, host: str, target: str) -> Route | None:
+    def find(self, host: str, path_and_query: str) -> Route | None:
         """Return the route of a request: that with the longest matching prefix, or None.
 
         Parameters
         ----------
         host : str
             The request's ``Host``, with or without a port.
-        target : str
-            The request target: path and query.
+        path_and_query : str
+            The target of the HTTP request line.
         """
         name = host.rsplit(":", 1)[0].lower()
-        path = target.split("?", 1)[0]
+        path = path_and_query.split("?", 1)[0]
         end = path.rfind("/")
         while end >= 0:
             route = self._by_prefix.get((name, path[: end + 1]))
--- a/gladedrum/table/__init__.py
+++ b/gladedrum/table/__init__.py
@@ -1,8 +1,11 @@
-"""The table of weights and limits.
+"""The table of weights and limits of organisations and classes of requests.
 
-Operators change the table by edits, which are stored in the key-value service. Its rows are
-organisations and classes of requests, its columns are knobs, and every accepted edit makes a new
-revision. `TableFollower` and `TableReplicator` bring new revisions into force on each box.
+Operators change the table by edits, which are kept in the store (the platform's key-value store).
+Its rows are organisations and classes of requests, its columns are knobs, and every accepted edit
+makes a new revision.
+
+On each box one task brings new revisions into force: `TableFollower` on a box that forwards
+requests, `TableReplicator` on a box that serves the OpenAI interface.
 """
 
 from .core import *
--- a/gladedrum/table/core.py
+++ b/gladedrum/table/core.py
@@ -65,7 +65,7 @@
 
     @property
     def full_revision(self) -> Revision:
-        """The key by which tables are ordered: first by era, then by revision."""
+        """The revision together with its era; newer tables have a higher one."""
         return Revision(self.era, self.revision)
 
     def effective(self, organisation: str, request_class: str) -> EffectiveValues:
--- a/gladedrum/table/edits.py
+++ b/gladedrum/table/edits.py
@@ -1,8 +1,10 @@
 """Edits of the table and the rules for accepting them; without I/O.
 
 The table is stored as a head, which holds the newest edits, and a snapshot of the revision before
-them (the base). An edit names the revision that its author saw, and is rejected if one of its
-cells has been set to another value since then (optimistic concurrency control).
+them (the base). If the head grows too long, its older edits move into a new snapshot.
+
+An edit names the revision that its author saw, and is rejected if one of its cells has been set to
+another value since then (optimistic concurrency control).
 """
 
 from collections.abc import Iterable
@@ -120,7 +122,7 @@
             findings.append(Finding(place, message))
         knob = KNOBS.get(cell.knob)
         if knob is None:
-            findings.append(Finding(place, f"unknown knob; the knobs are {', '.join(KNOBS)}"))
+            findings.append(Finding(place, f"unknown knob; use one of {', '.join(KNOBS)}"))
         elif cell.value is not None:
             try:
                 knob.parse(knob.render(cell.value))
@@ -168,7 +170,8 @@
 
     A store that was restored from a copy lacks the newest edits. After a restore, a write that
     was under way may also overwrite newer edits, since revisions are assigned again and its
-    compare-and-swap can succeed by accident.
+    compare-and-swap can succeed by accident. Edits up to the head's base are not compared, since
+    the head does not list them.
     """
     stored = {edit.edit_id for edit in head.edits}
     return [edit for edit in accepted if edit.edit_id not in stored and edit.revision > head.base]
@@ -177,8 +180,8 @@
 def restoring_edits(lost: Iterable[Edit], accepted: Iterable[Edit], head: Head) -> list[Edit]:
     """Return edits that restore the lost ones, to be appended to a head.
 
-    Edits that were made since the loss are not undone: the cells that they set keep their values,
-    since their authors decided later. The reason of the restoring edit lists these cells.
+    A restored edit keeps its id, so that it is not restored twice, but gets a new revision. Cells
+    that were set since the loss keep their later values; the reason of the edit lists them.
     """
     known = {edit.edit_id for edit in accepted}
     set_since = {
--- a/gladedrum/table/follow.py
+++ b/gladedrum/table/follow.py
@@ -1,6 +1,7 @@
 """Following the table directly from the store, for boxes that do not pass it on to peers.
 
-A box that has peers to follow learns of new revisions from them, and reads the store only then.
+If peers read the store for this box, they send it their revisions. It then reads the store only
+for a newer revision, or when it has received none for `WATCH_TIMEOUT_S`.
 """
 
 import logging
@@ -35,14 +36,14 @@
 
 
 class TableFollower:
-    """Keeps the table in force up to date.
+    """Keeps a `TableInForce` up to date by watching the store, or by the revisions that peers send.
 
     Parameters
     ----------
     clock : IReactorTime
         A monotonic clock.
     kv : StoreClient
-        Holds the table.
+        The store that holds the table.
     in_force : TableInForce
         Kept up to date.
     follows_peers : callable
@@ -63,7 +64,7 @@
         self._in_force = in_force
         self._follows_peers = follows_peers
         self._peer_revision = NEVER
-        self._informed_s = clock.seconds()
+        self._last_informed_s = clock.seconds()
         self._first_read_done = False
         self._pending_watch: defer.Deferred | None = None
 
@@ -76,7 +77,7 @@
 
     def note_peer_revision(self, revision: Revision) -> None:
         """Record the revision that a peer has in force."""
-        self._informed_s = self._clock.seconds()
+        self._last_informed_s = self._clock.seconds()
         if revision.number == 0:
             self._in_force.note_empty(revision.era)
         self._peer_revision = max(self._peer_revision, revision)
@@ -99,27 +100,27 @@
                 await sleep(self._clock, RETRY_DELAY_S)
 
     def _may_rely_on_peers(self) -> bool:
-        informed_recently = self._clock.seconds() - self._informed_s < WATCH_TIMEOUT_S
+        informed_recently = self._clock.seconds() - self._last_informed_s < WATCH_TIMEOUT_S
         current = self._peer_revision <= self._in_force.table.full_revision
         return self._follows_peers() and informed_recently and current
 
     async def _read_and_watch(self) -> None:
         accepted = self._in_force.accepted_edits
-        news = await self._store.read(self._in_force.table, self._in_force.edits)
-        if lost_edits(accepted, news.head):
-            # The table in force stays; the next read gets the table with the restored edits.
+        stored = await self._store.read(self._in_force.table, self._in_force.edits)
+        if lost_edits(accepted, stored.head):
+            # The table in force stays until the next read, which gets the restored edits.
             count = await self._store.restore_lost_edits(accepted)
             _log.warning("lost edits of the table restored", extra={"edits": count})
             return
-        self._in_force.adopt(news.table, news.head.edits)
-        self._informed_s = self._clock.seconds()
+        self._in_force.adopt(stored.table, stored.head.edits)
+        self._last_informed_s = self._clock.seconds()
         if not self._first_read_done:
             # A box that has just started does not know yet whether it has peers to follow. Without
             # the pause, every box of a large fleet would start a needless watch.
             self._first_read_done = True
             await sleep(self._clock, FIRST_WATCH_DELAY_S)
         if not self._follows_peers():
-            await self._watch(news.kv_revision)
+            await self._watch(stored.kv_revision)
 
     async def _watch(self, revision: Revision) -> None:
         """Wait for a change of the table, the timeout, or a restore of the store from a copy."""
@@ -127,7 +128,8 @@
         try:
             await pending
         except defer.CancelledError:
-            # `note_store_restored` clears the attribute before it cancels; other cancellations end the task.
+            # `note_store_restored` clears the attribute before it cancels the watch. Any other
+            # cancellation is meant for this task.
             if self._pending_watch is pending:
                 raise
         finally:
--- a/gladedrum/table/replication.py
+++ b/gladedrum/table/replication.py
@@ -1,8 +1,8 @@
 """The table in force on a box, and its replication to all boxes.
 
-A few boxes of each data hall (the watchers) read the table from the key-value service and watch
-it. All other boxes regularly pull it from a watcher or another peer. A box accepts only newer
-tables than its own, so a change never reverts, whatever the order in which messages arrive.
+A few boxes of each data hall (the watchers) read the table from the store and watch it there. All
+other boxes regularly pull it from a watcher or another peer. A box accepts only newer tables than
+its own, so a change never reverts, whatever the order in which messages arrive.
 """
 
 import logging
@@ -59,7 +59,7 @@
 
 
 class TableState(TypedDict):
-    """The revision of the table on a box, and the time since it was confirmed."""
+    """The revision of a box's table and the time since it was confirmed; None without an answer."""
 
     box: str
     revision: int | None
@@ -79,7 +79,7 @@
     table : Table
         The newest table that this box knows.
     known : bool
-        False until the table has been received from the service or a peer.
+        False until the table has been received from the store or a peer.
     """
 
     def __init__(self, clock: IReactorTime):
@@ -92,7 +92,7 @@
 
     @property
     def age_s(self) -> float:
-        """The time since the service or a peer last confirmed or changed the table, in seconds."""
+        """The time since the store or a peer last confirmed or changed the table, in seconds."""
         return self._clock.seconds() - self._confirmed_s
 
     @property
@@ -106,7 +106,7 @@
         return self._edits
 
     def note_empty(self, era: int) -> None:
-        """Accept from a peer that the table is empty in this era, if no table is known yet.
+        """Adopt the empty table of an era that a peer has named, if no table is known yet.
 
         This saves boxes that start at the same time from reading an empty table from the store.
         """
@@ -129,7 +129,7 @@
             _log.info("table in force", extra={"revision": table.revision, "era": table.era})
 
     def mark_confirmed(self) -> None:
-        """Record that the service or a peer has confirmed the table now."""
+        """Record that the store or a peer has confirmed the table now."""
         self.known = True
         self._confirmed_s = self._clock.seconds()
 
@@ -157,6 +157,7 @@
             # An answer to an outdated request: applying it would skip edits.
             _log.warning("table update dropped: it skips revisions")
         else:
+            # Keep as many edits as a head can hold.
             self.adopt(apply_edits(self.table, update.edits), [*self._edits, *update.edits][-100:])
 
 
@@ -170,7 +171,7 @@
     clock : IReactorTime
         Times the pauses.
     kv : StoreClient
-        Watched if this box is one of the watchers.
+        Client of the store; used only while this box is a watcher.
     in_force : TableInForce
         Kept up to date.
     live_boxes : callable
@@ -222,12 +223,12 @@
     async def _watch(self) -> None:
         """Read the table, and watch it for as long as this box is a watcher."""
         try:
-            news = await self._store.read(self._in_force.table, self._in_force.edits)
-            if lost_edits(self._in_force.accepted_edits, news.head):
+            stored = await self._store.read(self._in_force.table, self._in_force.edits)
+            if lost_edits(self._in_force.accepted_edits, stored.head):
                 await self._store.restore_lost_edits(self._in_force.accepted_edits)
                 return
-            self._in_force.adopt(news.table, news.head.edits)
-            revision = news.kv_revision
+            self._in_force.adopt(stored.table, stored.head.edits)
+            revision = stored.kv_revision
             while self._is_watcher():
                 answer = await self._kv.watch(HEAD_KEY, revision, _WATCH_TIMEOUT_S)
                 revision = answer.revision
--- a/gladedrum/table/site.py
+++ b/gladedrum/table/site.py
@@ -27,7 +27,7 @@
 
 __all__ = ["TableSite"]
 
-_DEFAULT_HISTORY = 20
+_DEFAULT_HISTORY_EDITS = 20
 
 
 class _EditBody(msgspec.Struct):
@@ -52,7 +52,7 @@
     store : TableStore
         Reads and edits the stored table.
     states : callable
-        Returns the state of the table on every box.
+        Returns an awaitable of the state of the table on every box.
     """
 
     app = Klein()
@@ -71,7 +71,7 @@
 
     @app.route("/rows", methods=["GET"])
     async def rows(self, request: Request) -> bytes:
-        """Return the newest table, or the one in force here if the service does not answer."""
+        """Return the newest table, or the one in force here if the store does not answer."""
         table = self._in_force.table
         try:
             table = (await self._store.read(table)).table
@@ -88,7 +88,7 @@
     @app.route("/history", methods=["GET"])
     async def history(self, request: Request) -> bytes:
         """Return the newest edits, newest first."""
-        count = int(request.args.get(b"count", [str(_DEFAULT_HISTORY).encode()])[0])
+        count = int(request.args.get(b"count", [str(_DEFAULT_HISTORY_EDITS).encode()])[0])
         try:
             edits = await self._store.history(count)
         except KVUnavailableError as exc:
@@ -129,8 +129,8 @@
             body = {"result": "not-applied", "reason": reason}
             return _json(request, body, HTTPStatus.SERVICE_UNAVAILABLE)
         case Conflicting(conflicts=conflicts):
-            rows = [conflict._asdict() for conflict in conflicts]
-            body = {"result": "conflict", "conflicts": rows}
+            listed = [conflict._asdict() for conflict in conflicts]
+            body = {"result": "conflict", "conflicts": listed}
             return _json(request, body, HTTPStatus.CONFLICT)
         case InDoubt(edit_id=edit_id, reason=reason):
             body = {"result": "unknown", "edit_id": edit_id, "reason": reason}
@@ -138,8 +138,8 @@
 
 
 def _findings(request: Request, findings: list[Finding]) -> bytes:
-    rows = [{"place": f.place, "message": f.message} for f in findings]
-    return _json(request, {"result": "refused", "findings": rows}, HTTPStatus.BAD_REQUEST)
+    listed = [{"place": f.place, "message": f.message} for f in findings]
+    return _json(request, {"result": "refused", "findings": listed}, HTTPStatus.BAD_REQUEST)
 
 
 def _error(request: Request, status: HTTPStatus, message: str) -> bytes:
--- a/gladedrum/table/store.py
+++ b/gladedrum/table/store.py
@@ -1,4 +1,4 @@
-"""The table in the key-value service: reading it, and editing it.
+"""Reading and editing the table in the platform's key-value store.
 
 Each edit takes one compare-and-swap of the head. Older edits are moved to snapshots, from which
 the table is rebuilt, and to logs, which keep the history.
@@ -34,7 +34,7 @@
     "EditResult",
     "InDoubt",
     "NotApplied",
-    "TableNews",
+    "StoredTable",
     "TableStore",
     "TooOldError",
 ]
@@ -63,7 +63,7 @@
 
 
 class Accepted(NamedTuple):
-    """The edit is in the table, and will be in force everywhere."""
+    """The edit is in the table, and comes into force on each box when the box learns of it."""
 
     revision: int
     edit: Edit
@@ -92,13 +92,13 @@
 """The possible outcomes of an edit."""
 
 
-class TableNews(NamedTuple):
+class StoredTable(NamedTuple):
     """The newest table, as read from the store.
 
     Parameters
     ----------
     table : Table
-        The table.
+        The table at the newest revision.
     head : Head
         The head with the newest edits in the table.
     kv_revision : Revision
@@ -116,13 +116,13 @@
     Parameters
     ----------
     kv : StoreClient
-        The key-value service.
+        Client of the store that holds the table.
     """
 
     def __init__(self, kv: StoreClient):
         self._kv = kv
 
-    async def read(self, known: Table, known_edits: Sequence[Edit] = ()) -> TableNews:
+    async def read(self, known: Table, known_edits: Sequence[Edit] = ()) -> StoredTable:
         """Return the newest table.
 
         Parameters
@@ -136,17 +136,17 @@
         Raises
         ------
         KVUnavailableError
-            If the service did not answer, or the snapshot does not exist.
+            If the store did not answer, or the snapshot does not exist.
         """
         listing = await self._kv.list(HEAD_KEY)
         era = listing.revision.era
-        row = next((item for item in listing.items if item.key == HEAD_KEY), None)
-        if row is None:
-            return TableNews(Table(era=era), Head(), listing.revision)
-        head = _decode_head(row.value)
+        item = next((i for i in listing.items if i.key == HEAD_KEY), None)
+        if item is None:
+            return StoredTable(Table(era=era), Head(), listing.revision)
+        head = _decode_head(item.value)
         can_extend = known.era == era and _is_extended_by(known, known_edits, head)
         base = known if can_extend else replace(await self._snapshot(head.base), era=era)
-        return TableNews(apply_edits(base, head.edits), head, listing.revision)
+        return StoredTable(apply_edits(base, head.edits), head, listing.revision)
 
     async def restore_lost_edits(self, accepted: Sequence[Edit]) -> int:
         """Append accepted edits that the stored table has lost to its head; return how many.
@@ -157,20 +157,20 @@
         Raises
         ------
         KVUnavailableError
-            If the service did not answer, or other writers always came first.
+            If the store did not answer, or every compare-and-swap met a concurrent edit.
         KVUnknownError
             If it is unknown whether the write was applied.
         """
         for _ in range(_MAX_SWAP_ATTEMPTS):
-            row = await self._kv.get(HEAD_KEY)
-            head = _decode_head(row.value) if row else Head()
+            item = await self._kv.get(HEAD_KEY)
+            head = _decode_head(item.value) if item else Head()
             lost = lost_edits(accepted, head)
             if not lost:
                 return 0
             restoring = restoring_edits(lost, accepted, head)
             changed = Head(head.base, [*head.edits, *restoring])
             try:
-                await self._kv.swap(HEAD_KEY, _encode(changed), row.revision if row else ABSENT)
+                await self._kv.swap(HEAD_KEY, _encode(changed), item.revision if item else ABSENT)
             except KVConflictError:
                 continue
             return len(restoring)
@@ -194,8 +194,8 @@
         in_doubt: KVUnknownError | None = None
         for _ in range(_MAX_SWAP_ATTEMPTS):
             try:
-                row = await self._kv.get(HEAD_KEY)
-                head = _decode_head(row.value) if row else Head()
+                item = await self._kv.get(HEAD_KEY)
+                head = _decode_head(item.value) if item else Head()
                 done = next((e for e in head.edits if e.edit_id == edit_id), None)
                 if done is not None:
                     return Accepted(done.revision, done)
@@ -207,7 +207,7 @@
                 edit = Edit(edit_id, head.revision + 1, list(cells), who, why, time.time())
                 head = await self._compacted(head)
                 changed = Head(head.base, [*head.edits, edit])
-                await self._kv.swap(HEAD_KEY, _encode(changed), row.revision if row else ABSENT)
+                await self._kv.swap(HEAD_KEY, _encode(changed), item.revision if item else ABSENT)
                 return Accepted(edit.revision, edit)
             except KVConflictError:
                 continue
@@ -223,13 +223,13 @@
 
     async def history(self, count: int) -> list[Edit]:
         """Return the newest `count` edits, newest first; raises as `read` does."""
-        row = await self._kv.get(HEAD_KEY)
-        if row is None:
+        item = await self._kv.get(HEAD_KEY)
+        if item is None:
             return []
-        edits = _decode_head(row.value).edits[::-1]
+        edits = _decode_head(item.value).edits[::-1]
         if len(edits) < count:
-            rows = await self._kv.get_prefix(_LOG_PREFIX)
-            older = [e for key in sorted(rows, reverse=True) for e in _log_edits(rows[key].value)]
+            logs = await self._kv.get_prefix(_LOG_PREFIX)
+            older = [e for key in sorted(logs, reverse=True) for e in _log_edits(logs[key].value)]
             oldest = edits[-1].revision if edits else 0
             edits += [e for e in older if e.revision < oldest]
         return edits[:count]
@@ -237,10 +237,10 @@
     async def _snapshot(self, revision: int) -> Table:
         if revision == 0:
             return Table()
-        row = await self._kv.get(f"{_SNAPSHOT_PREFIX}{revision:012d}")
-        if row is None:
+        item = await self._kv.get(f"{_SNAPSHOT_PREFIX}{revision:012d}")
+        if item is None:
             raise KVUnavailableError(f"the snapshot of revision {revision} does not exist")
-        snapshot = _decode_snapshot(row.value)
+        snapshot = _decode_snapshot(item.value)
         return Table(snapshot.revision, snapshot.rows)
 
     async def _compacted(self, head: Head) -> Head:
@@ -268,11 +268,16 @@
 
 
 def _log_edits(value: bytes) -> list[Edit]:
+    """Return the edits of a log, newest first."""
     return _decode_edits(value)[::-1]
 
 
 def _is_extended_by(known: Table, known_edits: Sequence[Edit], head: Head) -> bool:
-    """Whether a head's edits continue from a table, not from another one of the same revision."""
+    """Whether a head's edits continue from the known table.
+
+    Writes that overlap with a restore of the store can give two tables the same revision. Then the
+    id of the edit that created the revision tells them apart.
+    """
     if known.revision < head.base:
         return False
     same_revision = next((edit for edit in head.edits if edit.revision == known.revision), None)
--- a/gladedrum/table/tests/test_follow.py
+++ b/gladedrum/table/tests/test_follow.py
@@ -50,8 +50,8 @@
         cell = Cell("class:r1", "policy", "least_loaded")
         store = TableStore(self.kv)
         await store.edit([cell], 0, "somebody", "a trial")
-        news = await store.read(in_force.table)
-        in_force.adopt(news.table, news.head.edits)
+        stored = await store.read(in_force.table)
+        in_force.adopt(stored.table, stored.head.edits)
         self.service.write(HEAD_KEY, b"{no table")
         with self.assertRaises(msgspec.MsgspecError):
             # The error ends the follower; on a box, the supervisor restarts it.
--- a/gladedrum/table/tests/test_from_copy.py
+++ b/gladedrum/table/tests/test_from_copy.py
@@ -13,7 +13,7 @@
 from gladedrum.table import Accepted, Cell, TableFollower, TableInForce, TableStore
 from gladedrum.utils import sleep, start
 
-WAIT_S = 8.0
+ROWS_TIMEOUT_S = 8.0
 
 COMPARE_STEPS, COMPARE_STEP_S = 200, 0.02
 
@@ -26,6 +26,7 @@
         self.operator = TableStore(self.store())
 
     def box(self):
+        """Start the follower of a box, and return the box's table in force."""
         store, in_force = self.store(), TableInForce(reactor)
         follower = TableFollower(reactor, store, in_force)
         store.on_restored.append(lambda _before, _era: follower.note_store_restored())
@@ -45,8 +46,8 @@
         assert isinstance(result, Accepted), result
         return result
 
-    async def until_rows(self, boxes, **cells):
-        for _ in range(round(WAIT_S / 0.02)):
+    async def wait_for_rows(self, boxes, **cells):
+        for _ in range(round(ROWS_TIMEOUT_S / 0.02)):
             if all(box.table.rows.get("default", {}) == cells for box in boxes):
                 return
             await sleep(reactor, 0.02)
@@ -58,13 +59,13 @@
         await self.edit("weight", 1.0, 0)
         self.service.keep_copy()
         await self.edit("weight", 2.0, 1)
-        await self.until_rows(boxes, weight=2.0)
+        await self.wait_for_rows(boxes, weight=2.0)
         return boxes
 
-    async def wait_for_all(self, boxes, **cells):
+    async def wait_until_equal(self, boxes, **cells):
         """Wait until the boxes, and one that starts now, have the same table."""
         new_box = self.box()
-        await self.until_rows([*boxes, new_box], **cells)
+        await self.wait_for_rows([*boxes, new_box], **cells)
         # Rows from before the restore match at once, but boxes notice the new era only later.
         for _ in range(COMPARE_STEPS):
             if len({box.table.full_revision for box in (*boxes, new_box)}) == 1:
@@ -75,7 +76,7 @@
     async def test_an_accepted_edit_is_restored(self):
         boxes = await self.boxes_ahead_of_the_copy()
         self.service.go_back(None)
-        await self.wait_for_all(boxes, weight=2.0)
+        await self.wait_until_equal(boxes, weight=2.0)
         history = await self.operator.history(5)
         assert [edit.cells[0].value for edit in history] == [2.0, 1.0]
         assert "written again" in history[0].why
@@ -86,49 +87,49 @@
         self.service.keep_copy()
         cells = [Cell("default", "weight", 2.0), Cell("default", "deadline_s", 9.0)]
         await self.operator.edit(cells, 1, "somebody", "why")
-        await self.until_rows(boxes, weight=2.0, deadline_s=9.0)
+        await self.wait_for_rows(boxes, weight=2.0, deadline_s=9.0)
         self.service.cut_watches()
         self.service.switches.outage = True
         self.service.go_back(None)
         self.service.switches.outage = False
         await self.edit("weight", 3.0, 1, TableStore(self.store()))
-        await self.wait_for_all(boxes, weight=3.0, deadline_s=9.0)
+        await self.wait_until_equal(boxes, weight=3.0, deadline_s=9.0)
         assert "left as set meanwhile: default weight" in (await self.operator.history(1))[0].why
 
     async def test_an_edit_that_only_one_box_knows_is_restored(self):
         box = self.box()
         await self.edit("weight", 1.0, 0)
-        await self.until_rows([box], weight=1.0)
+        await self.wait_for_rows([box], weight=1.0)
         self.service.keep_copy()
         accepted = await self.edit("weight", 2.0, 1)
         box.keep_accepted(accepted.edit)
         self.service.go_back(None)
-        await self.wait_for_all([box], weight=2.0)
+        await self.wait_until_equal([box], weight=2.0)
 
     async def test_a_write_that_succeeded_by_accident_is_detected_and_repaired(self):
         """A restored store assigns revisions again, so a compare-and-swap that was under way can
         match a revision other than the one it read."""
         boxes = await self.boxes_ahead_of_the_copy()
         stale_client = self.store()
-        row = await stale_client.get("gladedrum/table/head")
+        item = await stale_client.get("gladedrum/table/head")
         self.service.go_back(None)
         await self.edit("deadline_s", 7.0, 1, TableStore(self.store()))
-        await self.until_rows(boxes, weight=2.0, deadline_s=7.0)
+        await self.wait_for_rows(boxes, weight=2.0, deadline_s=7.0)
         # A client that still assumes the earlier era learns of the new one only from the reply to
         # its write.
         head = self.service._entries["gladedrum/table/head"]
-        head.revision = row.revision.number
+        head.revision = item.revision.number
         await self.assertFailure(
-            start(stale_client.swap("gladedrum/table/head", row.value, row.revision)),
+            start(stale_client.swap("gladedrum/table/head", item.value, item.revision)),
             KVUnknownError,
         )
-        assert self.service._entries["gladedrum/table/head"].value == row.value
-        await self.wait_for_all(boxes, weight=2.0, deadline_s=7.0)
+        assert self.service._entries["gladedrum/table/head"].value == item.value
+        await self.wait_until_equal(boxes, weight=2.0, deadline_s=7.0)
 
     async def test_two_restores_in_quick_succession(self):
         boxes = await self.boxes_ahead_of_the_copy()
         self.service.go_back(None)
         await sleep(reactor, 0.05)
         self.service.go_back(None)
-        await self.wait_for_all(boxes, weight=2.0)
+        await self.wait_until_equal(boxes, weight=2.0)
         assert boxes[0].table.era == 3
