--- a/benchmarks/box_overhead.py
+++ b/benchmarks/box_overhead.py
@@ -18,17 +18,17 @@
 
 _ANSWER_TOKENS = (1, 32, 64, 128, 256)
 _PROMPT = "word " * 800
-_AT_ONCE = 8
+_CONCURRENCY = 8
 
 
 async def _send(caller: Caller, requests: int, tokens: int) -> list[CallRecord]:
     """Send requests with limited concurrency and return their records."""
-    gate = defer.DeferredSemaphore(_AT_ONCE)
+    gate = defer.DeferredSemaphore(_CONCURRENCY)
 
-    def one() -> defer.Deferred[CallRecord]:
+    def send_one() -> defer.Deferred[CallRecord]:
         return start(caller.complete(MODEL, _PROMPT, tokens, {}, 60.0))
 
-    return await defer.gatherResults([gate.run(one) for _ in range(requests)])
+    return await defer.gatherResults([gate.run(send_one) for _ in range(requests)])
 
 
 async def _measure(reactor, fleet: Fleet, requests: int) -> dict:
@@ -36,8 +36,8 @@
     web = WebClient(reactor)
     through = Caller(f"http://127.0.0.1:{box.port('callers')}", web, reactor)
     direct = Caller(fleet.engines["engine-1"].url, web, reactor)
-    await _send(through, 2 * _AT_ONCE, 8)
-    await _send(direct, 2 * _AT_ONCE, 8)
+    await _send(through, 2 * _CONCURRENCY, 8)
+    await _send(direct, 2 * _CONCURRENCY, 8)
     idle_bytes = resident_bytes(box.popen.pid)
     rows = []
     for tokens in _ANSWER_TOKENS:
@@ -46,7 +46,7 @@
         via_box = await _send(through, requests, tokens)
         wall_s = reactor.seconds() - began_s
         used_s = cpu_s(box.popen.pid) - before_s
-        alone = await _send(direct, requests, tokens)
+        directly = await _send(direct, requests, tokens)
         _check(via_box, tokens)
         rows.append(
             {
@@ -54,7 +54,7 @@
                 "requests": requests,
                 "cpu_s_per_request": used_s / requests,
                 "first_token_s_box": statistics.median(r.first_token_s for r in via_box),
-                "first_token_s_direct": statistics.median(r.first_token_s for r in alone),
+                "first_token_s_direct": statistics.median(r.first_token_s for r in directly),
                 "box_cpu_share": used_s / wall_s,
             }
         )
--- a/benchmarks/capacity_idle.py
+++ b/benchmarks/capacity_idle.py
@@ -73,11 +73,11 @@
     cpu = fit([(r["engines"], r["cpu_share_per_box"]) for r in by_engines])
     traffic = fit([(r["engines"], r["bytes_per_s_per_box"]) for r in by_engines])
     # Only the owners of the four engines poll them, so subtract the cost of polls.
-    rest = [
+    without_polls = [
         (r["boxes"], r["cpu_share_per_box"] - cpu.slope * r["engines"] / r["boxes"])
         for r in by_boxes
     ]
-    rest_bytes = [
+    bytes_without_polls = [
         (r["boxes"], r["bytes_per_s_per_box"] - traffic.slope * r["engines"] / r["boxes"])
         for r in by_boxes
     ]
@@ -88,8 +88,8 @@
             "by_engines": by_engines,
             "cpu_share_per_engine": cpu._asdict(),
             "bytes_per_s_per_engine": traffic._asdict(),
-            "cpu_share_without_engines_by_boxes": fit(rest)._asdict(),
-            "bytes_per_s_without_engines_by_boxes": fit(rest_bytes)._asdict(),
+            "cpu_share_without_engines_by_boxes": fit(without_polls)._asdict(),
+            "bytes_per_s_without_engines_by_boxes": fit(bytes_without_polls)._asdict(),
             "kv_reads_per_s_by_boxes": fit(
                 [(r["boxes"], r["kv_reads_per_s"]) for r in by_boxes]
             )._asdict(),
--- a/benchmarks/capacity_page.py
+++ b/benchmarks/capacity_page.py
@@ -15,12 +15,26 @@
 _BEGIN, _END = "<!-- figures: begin -->", "<!-- figures: end -->"
 
 CPU_LIMIT_S, MEMORY_LIMIT_MB, BYTES_LIMIT = 0.027, 32.0, 11_000.0
+"""Limits for the control work of a box: processor time per second, memory, and bytes per second."""
+
 _QUOTES = 3
+"""Number of quotes that a box requests to place a request."""
+
 _KEYED_SHARE = 0.1
+"""Share of the requests that have an idempotency key."""
+
 _QUEUE_LENGTH = 8
+"""Number of requests that wait at an owner."""
+
 _RENEWALS_PER_S = 4 / 30
+"""Renewals per second for each running request."""
+
 _RUNNING_S = 20.0
+"""Mean duration of a request, in seconds."""
+
 _CLAIM_SHARDS, _COMMITS_PER_S = 16, 10
+"""Number of claim shards, and of group commits of a shard per second."""
+
 _DAY_S = 86_400.0
 
 
@@ -44,7 +58,7 @@
 
 
 class Row(NamedTuple):
-    """Cost of one role for one box, per second."""
+    """Cost of one role for one box, per second; `carried_by` names what limits the cost."""
 
     role: str
     cpu_s: float
@@ -80,8 +94,8 @@
     edits = size.changes_per_day / _DAY_S
     edit = roles["table"]["rows"][-1]
     claim_s = roles["claims"]["rows"][1]["cpu_s_per_claim"]
-    flat = idle["cpu_share_without_engines_by_boxes"]
-    flat_bytes = idle["bytes_per_s_without_engines_by_boxes"]
+    idle_cpu = idle["cpu_share_without_engines_by_boxes"]
+    idle_bytes = idle["bytes_per_s_without_engines_by_boxes"]
     return [
         Row("entry: choice of candidates", choose_s, 0.0, "rendezvous hashing, a few asked"),
         Row("peers: quotes and reservations", rpc_s, rpc_bytes, "one owner a target"),
@@ -100,8 +114,8 @@
         ),
         Row(
             "table, list, ticks, heartbeats (idle)",
-            flat["intercept"],
-            flat_bytes["intercept"],
+            idle_cpu["intercept"],
+            idle_bytes["intercept"],
             "a few watchers a data hall, pulls; list sent only when changed",
         ),
         Row("table: edits", edits * edit["edit_s"], edits * edit["edit_bytes"], "edits travel"),
@@ -184,6 +198,7 @@
     per_target = running / size.targets
 
     def moved(boxes: float) -> str:
+        """Describe what the loss of a number of boxes causes."""
         targets = boxes * owned
         return (
             f"{targets:.0f} targets get new owners; {targets * per_target:.0f} renewals in all, "
--- a/benchmarks/capacity_roles.py
+++ b/benchmarks/capacity_roles.py
@@ -145,7 +145,7 @@
         cells = {f"organisation:customer-{n}": dict(knobs) for n in range(count)}
         in_force = TableInForce(task.Clock())
         in_force.adopt(Table(1, cells), [])
-        kept.append(in_force)
+        kept.append(in_force)  # otherwise its memory is reused by the next table
         edit = Edit("e" * 32, 2, [Cell("default", "weight", 3.0)], "somebody", "a reason", 0.0)
         rows.append(
             {
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.task import Clock
 
-from benchmarks.forward_roles import _cpu_us, _entries
+from benchmarks.forward_roles import cpu_us, target_entries
 from benchmarks.measure import save
 from gladedrum.beliefs.store_pace import StorePace
 from gladedrum.beliefs.target_list import TargetListFollower
@@ -29,11 +29,11 @@
 OBJECTIVE_S = {"short": 0.3, "middle": 1.5, "long": 3.0, "giant": 4.0}
 """Objectives for the first event, in seconds; they affect into how many parts a prompt is split."""
 
-WORK_AN_ENGINE = (0.5, 1.5, 3.0)
+REQUESTS_PER_ENGINE = (0.5, 1.5, 3.0)
 """Known requests per engine: a fleet with light, usual and full load."""
 
 MIX = (*[5_000] * 17, 45_000, 45_000, 190_000)
-"""Prompt sizes of these requests in tokens, in the proportions of the expected workload."""
+"""Prompt sizes of the known requests in tokens, in the proportions of the expected workload."""
 
 STEP_S = 0.004
 """Time between two decisions, in seconds: 250 decisions per second."""
@@ -46,7 +46,7 @@
     clock, rng = Clock(), random.Random(1)
     view = FleetView(lambda _target: EngineTraits(slots=5))
     clock.advance(100.0)
-    entries = _entries(engines)
+    entries = target_entries(engines)
     for number in range(int(engines * work)):
         prompt = rng.choice(MIX)
         targets = rng.sample(list(entries), 1 if prompt < 30_000 else 3)
@@ -64,7 +64,7 @@
     rows = []
     traits = EngineTraits(slots=5)
     for count in engines:
-        for work in WORK_AN_ENGINE:
+        for work in REQUESTS_PER_ENGINE:
             for size, prompt in SIZES.items():
                 clock, chooser, _view = _fleet(count, work)
 
@@ -74,7 +74,7 @@
                     demand = Demand(Service("pool", traits), prompt, 900, due_s, 0.25, "hall", "")
                     chooser.choose(demand, ())
 
-                us = _cpu_us(decide, REPEATS)
+                us = cpu_us(decide, REPEATS)
                 rows.append({"engines": count, "work": work, "size": size, "us": round(us)})
     return rows
 
--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -1,8 +1,8 @@
 """Processor time of a forwarding box for each of its tasks, in one process.
 
 ``python -m benchmarks.forward_roles`` benchmarks a gossip datagram about placed requests, a
-placement decision by the number of engines, a query of a coordinator for its state of the store,
-and the transfer of a changed target list by its length.
+placement decision by the number of engines, a query to a member of the coordinator group about the
+state of the store, and the transfer of a changed target list by its length.
 """
 
 import itertools
@@ -35,7 +35,7 @@
 SIZES = {"short": 5_000, "middle": 45_000, "long": 190_000}
 """Sizes of prompts, in tokens."""
 
-REQUESTS_AN_ENGINE = 1.5
+REQUESTS_PER_ENGINE = 1.5
 """Requests on each engine in the placement benchmark: a busy fleet."""
 
 MICROSECONDS = 1e6
@@ -47,7 +47,7 @@
 """Ports of that target: a new one for each start, so that no list occurs twice."""
 
 
-def _cpu_us(action: Callable[[], object], repeats: int) -> float:
+def cpu_us(action: Callable[[], object], repeats: int) -> float:
     """Return the processor time of one call, in microseconds."""
     action()
     began_s = time.process_time()
@@ -56,7 +56,8 @@
     return (time.process_time() - began_s) / repeats * MICROSECONDS
 
 
-def _entries(count: int) -> dict[str, TargetEntry]:
+def target_entries(count: int) -> dict[str, TargetEntry]:
+    """Return a list of targets, by name."""
     rows = (
         TargetEntry(f"i-{i:010x}", "pool", f"10.2.{i // 250}.{i % 250}", 8000, "hall", 6, False)
         for i in range(count)
@@ -68,31 +69,31 @@
     return WorkPlan(f"box-1.0123abcd.{number}", tuple(targets), prompt, 900, 1.5, 0.3, 0.25)
 
 
-class _Wire:
-    """Passes encoded datagrams to the other side."""
+class _DirectPort:
+    """Stand-in for a `GossipPort` that encodes each datagram and delivers it to `peer` directly."""
 
     def __init__(self, box: str):
         self._box = box
-        self.other: PeerSync | None = None
+        self.peer: PeerSync | None = None
 
-    def _pass(self, told: Gossip) -> None:
-        self.other.receive(gossip.decode(gossip.encode(told)), ("10.0.0.1", 1))
+    def _deliver(self, message: Gossip) -> None:
+        self.peer.receive(gossip.decode(gossip.encode(message)), ("10.0.0.1", 1))
 
     def ask_vouch(self, _address, ask) -> None:
-        self._pass(Gossip(self._box, vouch_asks=[ask]))
+        self._deliver(Gossip(self._box, vouch_asks=[ask]))
 
     def vouch(self, _address, note) -> None:
-        self._pass(Gossip(self._box, vouches=[note]))
+        self._deliver(Gossip(self._box, vouches=[note]))
 
     def send_list_part(self, _address, part) -> None:
-        self._pass(Gossip(self._box, list_parts=[part]))
+        self._deliver(Gossip(self._box, list_parts=[part]))
 
 
 class _SingleMemberGroup(CoordinatorGroup):
     """A coordinator group with one member."""
 
-    def __init__(self, me: str):
-        super().__init__(me, lambda: {"member": ("10.0.0.1", 1)})
+    def __init__(self, box: str):
+        super().__init__(box, lambda: {"member": ("10.0.0.1", 1)})
 
     def members(self) -> list[str]:
         return ["member"]
@@ -111,13 +112,21 @@
     coordinators = _SingleMemberGroup(name)
     registry = BoxRegistry(clock, None, name, ("10.0.0.9", 9), random.Random(1))
     return PeerSync(
-        clock, coordinators, registry, _Wire(name), configuration, targets, table, follower, pace
+        clock,
+        coordinators,
+        registry,
+        _DirectPort(name),
+        configuration,
+        targets,
+        table,
+        follower,
+        pace,
     )
 
 
 def measure_datagram() -> dict:
     """Benchmark encoding, decoding and applying the notes of a placed and an ended request."""
-    known = _entries(60)
+    known = target_entries(60)
     names = list(known)
     view = FleetView()
     numbers = iter(range(10**9))
@@ -129,7 +138,7 @@
             data = gossip.encode(Gossip("box-1", [note_from_plan(plan, change)]))
             view.receive(gossip.decode(data), known.keys(), number * 0.01)
 
-    return {"us_a_datagram_both_sides": _cpu_us(exchange, 2000) / 2}
+    return {"us_a_datagram_both_sides": cpu_us(exchange, 2000) / 2}
 
 
 def measure_placement() -> list[dict]:
@@ -139,10 +148,10 @@
     for count in ENGINES:
         clock = Clock()
         clock.advance(100.0)
-        entries = _entries(count)
+        entries = target_entries(count)
         view = FleetView()
         rng = random.Random(1)
-        for number in range(int(count * REQUESTS_AN_ENGINE)):
+        for number in range(int(count * REQUESTS_PER_ENGINE)):
             plan = _plan(number, [rng.choice(list(entries))], rng.choice([3_000, 8_000, 45_000]))
             view.note_placed(plan, clock.seconds())
         targets = TargetListFollower(clock, None, 3.0, lambda _entry: None, StorePace(clock, rng))
@@ -152,7 +161,7 @@
             demand = Demand(
                 Service("pool", traits), prompt, 900, clock.seconds() + 1, 0.25, "hall", ""
             )
-            us = _cpu_us(lambda d=demand, c=chooser: c.choose(d, ()), 40)
+            us = cpu_us(lambda d=demand, c=chooser: c.choose(d, ()), 40)
             rows.append({"engines": count, "size": size, "us": us})
     return rows
 
@@ -163,19 +172,19 @@
     for count in ENGINES:
         clock = Clock()
         clock.advance(100.0)
-        member = _peer_sync("member", clock, _entries(count))
-        asker = _peer_sync("asker", clock, _entries(count))
-        member._port.other, asker._port.other = asker, member
-        same_us = _cpu_us(asker._ask, 300)
+        member = _peer_sync("member", clock, target_entries(count))
+        requester = _peer_sync("asker", clock, target_entries(count))
+        member._port.peer, requester._port.peer = requester, member
+        same_us = cpu_us(requester._ask, 300)
 
-        def ask_with_another_list(asker=asker, member=member, clock=clock) -> None:
+        def query_with_changed_list(requester=requester, member=member, clock=clock) -> None:
             clock.advance(0.001)
             _toggle(member._targets, clock.seconds())
-            asker._targets._gone_starts.clear()
-            asker._ask()
+            requester._targets._gone_starts.clear()
+            requester._ask()
 
         rows.append(
-            {"targets": count, "same_us": same_us, "other_us": _cpu_us(ask_with_another_list, 30)}
+            {"targets": count, "same_us": same_us, "other_us": cpu_us(query_with_changed_list, 30)}
         )
     return rows
 
@@ -186,7 +195,7 @@
     if TOGGLED in entries:
         del entries[TOGGLED]
     else:
-        entries[TOGGLED] = _entries(1)[TOGGLED]._replace(port=next(PORTS))
+        entries[TOGGLED] = target_entries(1)[TOGGLED]._replace(port=next(PORTS))
     targets.entries = entries
     targets._read_s = read_s
 
--- a/benchmarks/pass_engine.py
+++ b/benchmarks/pass_engine.py
@@ -1,7 +1,8 @@
 """Simulation in virtual time of an engine that computes in passes.
 
-A pass reads parts of prompts and writes events of several requests. Its duration follows
-`scheduling.engine_model`, with a random factor for each engine and each pass and a random overhead.
+A pass reads parts of prompts (prefill) and writes events (decoding) of several requests. Its
+duration follows `scheduling.engine_model`, with a random factor for each engine and each pass and a
+random overhead.
 """
 
 import random
@@ -33,6 +34,17 @@
         Parts of its prompt that are still to be read.
     patience_s : float
         Longest wait for an event after which the caller gives up, in seconds.
+
+    Attributes
+    ----------
+    first_s : float or None
+        Time from the arrival to the first event, None before it.
+    last_s : float
+        Time of the last event.
+    pause_s : float
+        Longest pause between two events so far, in seconds.
+    ended, lost : bool
+        Whether it has ended, and whether it has because the caller gave up.
     """
 
     arrived_s: float
@@ -85,7 +97,7 @@
         """Whether other engines read parts of the same prompt too."""
         return self.parts > 1
 
-    def take(self, tokens: float, traits: EngineTraits) -> float:
+    def advance(self, tokens: float, traits: EngineTraits) -> float:
         """Read tokens and return the duration, in seconds."""
         pairs = (tokens * self.read + tokens * tokens / 2) * self.parts
         self.read += tokens
@@ -96,9 +108,9 @@
 class Pass(NamedTuple):
     """A pass: duration in seconds, parts that write an event at its end, and parts fully read."""
 
-    took_s: float
+    duration_s: float
     writers: list[Part]
-    read: list[Part]
+    finished_readers: list[Part]
 
 
 @dataclass
@@ -131,9 +143,13 @@
         steps = self.traits.stride if writers else 1
         step_s = self.traits.step_s + len(writers) * self.traits.per_writer_s
         step_s += sum(p.read for p in writers) * self.traits.per_context_token_s
-        read, read_s = self._read([p for p in running if p.unread > 0], steps)
-        took_s = (steps * step_s + read_s) * self._slowdown * (1 + SPREAD * self.rng.uniform(-1, 1))
-        return Pass(took_s + self.rng.expovariate(1 / MEAN_OVERHEAD_S), writers, read)
+        finished_readers, read_s = self._read([p for p in running if p.unread > 0], steps)
+        duration_s = (
+            (steps * step_s + read_s) * self._slowdown * (1 + SPREAD * self.rng.uniform(-1, 1))
+        )
+        return Pass(
+            duration_s + self.rng.expovariate(1 / MEAN_OVERHEAD_S), writers, finished_readers
+        )
 
     def _read(self, readers: list[Part], steps: int) -> tuple[list[Part], float]:
         """Read as much as fits into a pass; return the parts fully read, and the duration."""
@@ -143,6 +159,6 @@
             tokens = min(part.unread, budget)
             if tokens <= 0:
                 break
-            read_s += part.take(tokens, self.traits)
+            read_s += part.advance(tokens, self.traits)
             budget -= tokens
         return [part for part in readers if not part.unread], read_s
--- a/benchmarks/placement_mix.py
+++ b/benchmarks/placement_mix.py
@@ -20,7 +20,7 @@
 
 from twisted.internet.task import Clock
 
-from benchmarks.forward_roles import _entries
+from benchmarks.forward_roles import target_entries
 from benchmarks.measure import save
 from benchmarks.pass_engine import Part, PassEngine, Stream
 from gladedrum.beliefs.store_pace import StorePace
@@ -61,10 +61,29 @@
 """Standard deviation of the logarithm of the error in callers' estimates of the answer length."""
 
 START_S = 100.0
+"""Virtual time at which the simulation starts, in seconds."""
 
 
 class Kind(NamedTuple):
-    """A kind of request: its rate, distribution of sizes, worth and time objectives."""
+    """A kind of request: its rate, distribution of sizes, worth and time objectives.
+
+    Parameters
+    ----------
+    per_s : float
+        Mean number of arrivals per second.
+    prompt, prompt_spread : float
+        Mean prompt size in tokens, and its standard deviation as a share of the mean.
+    longest : float
+        Maximum prompt size, in tokens.
+    events : float
+        Mean number of events of an answer.
+    worth : float
+        Worth of a request with a mean prompt that is served in time.
+    first_s, pause_s : float
+        Objectives for the first event and for the pause between events, in seconds.
+    deadline_s : float
+        Time from arrival within which the whole answer must be written, in seconds.
+    """
 
     name: str
     per_s: float
@@ -115,12 +134,22 @@
     requests: int
     late: int
     lost: int
-    owed: float
+    possible: float
     earned: float
 
 
 class MixSimulation:
-    """One run of the simulation."""
+    """One run of the simulation.
+
+    Parameters
+    ----------
+    seed : int
+        Seed of the arrivals and the engines.
+    engines : int
+        Number of engines.
+    share : float
+        Factor on the arrival rates of all kinds.
+    """
 
     def __init__(self, seed: int, engines: int, share: float):
         self._rng = random.Random(seed)
@@ -131,7 +160,7 @@
         targets = TargetListFollower(
             self._clock, None, 3.0, lambda _entry: None, StorePace(self._clock, self._rng)
         )
-        targets.entries = _entries(engines)
+        targets.entries = target_entries(engines)
         self._chooser = Chooser("box", self._clock, targets, self._view)
         self._engines = {name: PassEngine(TRAITS, self._rng) for name in targets.entries}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -146,19 +175,19 @@
             self._schedule(arrival.at_s, partial(self._place, arrival))
         until_s = START_S + len(PHASES) * PHASE_S + DRAIN_S
         while self._events and self._events[0][0] <= until_s:
-            at_s, _number, act = heapq.heappop(self._events)
+            at_s, _number, callback = heapq.heappop(self._events)
             self._clock.advance(max(0.0, at_s - self._clock.seconds()))
-            act()
+            callback()
         return {kind.name: self._result(kind) for kind in KINDS}
 
     def _draw(self, share: float) -> Iterator[Arrival]:
-        for index, (kind, more) in (
+        for index, (kind, factor) in (
             (index, pair)
             for index, phase in enumerate(PHASES)
             for pair in zip(KINDS, phase, strict=True)
         ):
             at_s, end_s = START_S + index * PHASE_S, START_S + (index + 1) * PHASE_S
-            while (at_s := at_s + self._rng.expovariate(kind.per_s * more * share)) < end_s:
+            while (at_s := at_s + self._rng.expovariate(kind.per_s * factor * share)) < end_s:
                 prompt = int(min(kind.longest, self._lognormal(kind.prompt, kind.prompt_spread)))
                 events = max(1, round(min(2.5 * kind.events, self._lognormal(kind.events, 0.6))))
                 answer = events * TRAITS.stride
@@ -169,8 +198,8 @@
         sigma = math.sqrt(math.log(1 + spread * spread))
         return self._rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
 
-    def _schedule(self, at_s: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_s, next(self._numbers), act))
+    def _schedule(self, at_s: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_s, next(self._numbers), callback))
 
     def _place(self, arrival: Arrival) -> None:
         kind, now_s = arrival.kind, self._clock.seconds()
@@ -199,12 +228,16 @@
         if next_pass is None:
             engine.is_running = False
             return
-        end_s = self._clock.seconds() + next_pass.took_s
-        self._schedule(end_s, partial(self._end_pass, engine, next_pass.writers, next_pass.read))
+        end_s = self._clock.seconds() + next_pass.duration_s
+        self._schedule(
+            end_s, partial(self._end_pass, engine, next_pass.writers, next_pass.finished_readers)
+        )
 
-    def _end_pass(self, engine: PassEngine, writers: list[Part], read: list[Part]) -> None:
+    def _end_pass(
+        self, engine: PassEngine, writers: list[Part], finished_readers: list[Part]
+    ) -> None:
         now_s = self._clock.seconds()
-        for part in read:
+        for part in finished_readers:
             part.stream.unread_parts -= 1
         for stream in (part.stream for part in writers if not part.stream.ended):
             if stream.first_s is None:
@@ -215,8 +248,10 @@
         self._begin_pass(engine)
 
     def _result(self, kind: Kind) -> KindResult:
-        of_kind = [one for one in self._arrivals if one.kind is kind]
-        scores = [(kind.worth_of(one.prompt), self._earned_share(one)) for one in of_kind]
+        of_kind = [arrival for arrival in self._arrivals if arrival.kind is kind]
+        scores = [
+            (kind.worth_of(arrival.prompt), self._earned_share(arrival)) for arrival in of_kind
+        ]
         return KindResult(
             len(of_kind),
             sum(share == LATE_WORTH for _, share in scores),
@@ -236,7 +271,7 @@
 
 
 def _worth_by_kind(prompt: float) -> float:
-    """Return a request's worth by its kind, which a box does not know."""
+    """Return a request's worth by its kind; the product knows only the prompt size."""
     kind = next(kind for kind in KINDS if prompt <= kind.longest)
     return kind.worth_of(prompt)
 
@@ -272,8 +307,8 @@
         name: KindResult(*map(sum, zip(*(run[name] for run in runs), strict=True)))
         for name in runs[0]
     }
-    earned = sum(row.earned for row in kinds.values()) / sum(row.owed for row in kinds.values())
-    shares = {name: round(row.earned / row.owed, 4) for name, row in kinds.items()}
+    earned = sum(row.earned for row in kinds.values()) / sum(row.possible for row in kinds.values())
+    shares = {name: round(row.earned / row.possible, 4) for name, row in kinds.items()}
     late = {name: [row.requests, row.late, row.lost] for name, row in kinds.items()}
     return {"way": variant, "engines": engines, "share": share, "seeds": seeds,
             "earned": round(earned, 4), "by_kind": shares, "requests_late_lost": late}  # fmt: skip
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -53,8 +53,10 @@
     args = parser.parse_args()
     pairs = list(itertools.product(CASES, policy_names()))
     with Pool(args.processes) as pool:
-        found = pool.map(_run, pairs, chunksize=1)
-    rows = [{"case": case.name, **figures} for (case, _), figures in zip(pairs, found, strict=True)]
+        results = pool.map(_run, pairs, chunksize=1)
+    rows = [
+        {"case": case.name, **figures} for (case, _), figures in zip(pairs, results, strict=True)
+    ]
     for row in rows:
         lengths = {
             name: round(f["first_token_s"]["p95"], 2) for name, f in row["by_length"].items()
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -28,7 +28,7 @@
 
 @when('"{name}" has its first token')
 def first_token(context, name):
-    context.calls[name].wait_first()
+    context.calls[name].wait_first_token()
 
 
 @then('"{name}" is whole')
@@ -139,7 +139,7 @@
 
 @then("one trace has the spans entry, place and target, and an owner span of another box")
 def one_trace(context):
-    wait_for("a trace over two boxes", lambda: any(map(_is_whole, _traces(context).values())))
+    wait_for("a trace over two boxes", lambda: any(map(_has_all_hops, _traces(context).values())))
 
 
 def _traces(context):
@@ -153,7 +153,8 @@
     return traces
 
 
-def _is_whole(spans):
+def _has_all_hops(spans):
+    """Whether a trace has a span for each hop, with the owner on another box than the entry."""
     boxes = dict(spans)
     hops = {"entry", "place", "target", "owner"}
     return hops <= boxes.keys() and boxes["owner"] != boxes["entry"]
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -41,7 +41,7 @@
 
 @then("{box} is not ready at once")
 def not_ready(context, box):
-    reply = http_json("GET", f"{context.fleet.boxes[box].operators}/readyz")
+    reply = http_json("GET", f"{context.fleet.boxes[box].operators_url}/readyz")
     assert not reply["ready"], reply
 
 
@@ -71,7 +71,7 @@
 
 
 @when("{box} is removed from the list")
-def gone(context, box):
+def remove_box(context, box):
     del context.fleet.boxes[box]
     context.fleet.publish()
     context.fleet.wait_until_ready()
@@ -82,7 +82,7 @@
     def reserved():
         return sum(t["reserved_tokens"] for t in process(context, box).status()["targets"])
 
-    wait_for("reservations to be given back", lambda: reserved() == 0)
+    wait_for("reservations to be released", lambda: reserved() == 0)
 
 
 @given('"{owner}" owns {engine} and "{other}" does not')
@@ -115,7 +115,7 @@
 
 
 @when('the engine of "{name}" is leaving')
-def leaving(context, name):
+def start_leaving(context, name):
     fleet = context.fleet
     context.leaving = next(
         engine
--- a/features/steps/once_steps.py
+++ b/features/steps/once_steps.py
@@ -37,12 +37,12 @@
 
 
 @when('{box} is asked "{name}" with key "{key}" for {tokens:d} tokens until it accepts it')
-def send_until_taken(context, name, key, tokens, box):
-    def taken():
+def send_until_accepted(context, name, key, tokens, box):
+    def accepted():
         send(context, "clause question", name, box, tokens, _key(key))
         return context.calls[name].result().status == 200
 
-    wait_for("the key to be free", taken)
+    wait_for("the key to be free", accepted)
 
 
 @when('question "{name}" with {seconds:d} seconds goes to {box}')
@@ -68,7 +68,7 @@
 
 
 @when("the key-value service is up again")
-def back(context):
+def end_outage(context):
     context.fleet.store.switch(outage=False)
 
 
@@ -106,6 +106,6 @@
 
 
 @when("both engines accept requests and never respond")
-def silent(context):
+def make_engines_silent(context):
     for engine in context.fleet.engines.values():
         engine.switch(silent=True)
--- a/features/steps/table_steps.py
+++ b/features/steps/table_steps.py
@@ -9,7 +9,7 @@
 
 
 def _edit(context, box, knob, value, seen=None, token="secret"):
-    url = f"{context.fleet.boxes[box].operators}/table"
+    url = f"{context.fleet.boxes[box].operators_url}/table"
     if seen is None:
         seen = http_json("GET", f"{url}/rows")["revision"]
     body = {
@@ -88,7 +88,7 @@
 @then("the history has {count:d} edit")
 def history(context, count):
     box = next(iter(context.fleet.boxes.values()))
-    edits = http_json("GET", f"{box.operators}/table/history")["edits"]
+    edits = http_json("GET", f"{box.operators_url}/table/history")["edits"]
     assert len(edits) == count, edits
 
 
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the scenarios stand on: processes, and a caller."""
+"""Support for the scenarios: a fleet of processes, and a caller."""
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -31,7 +31,21 @@
 
 @dataclass(repr=False)
 class Answer:
-    """The response that a caller received, as far as it arrived."""
+    """The response that a caller received, as far as it arrived.
+
+    Parameters
+    ----------
+    pieces : list of str
+        Texts of the events.
+    outcome : str
+        Outcome that the box reported, in the headers or in the last event.
+    error : dict
+        Error object of the response, empty if there is none.
+    done : bool
+        Whether the stream's end marker has arrived.
+    broken : str
+        Exception that ended reading, empty if there was none.
+    """
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -82,7 +96,7 @@
         assert not self._thread.is_alive(), "the answer did not end"
         return self.answer
 
-    def wait_first(self) -> None:
+    def wait_first_token(self) -> None:
         wait_for(
             "the first token or the end",
             lambda: self.first.is_set() or not self._thread.is_alive(),
@@ -114,11 +128,11 @@
                 self.answer.error = json.loads(response.read())["error"]
                 return
             for line in response:
-                self._take(line)
+                self._read_line(line)
         except (OSError, http.client.HTTPException, ValueError, AttributeError) as exc:
             self.answer.broken = repr(exc)
 
-    def _take(self, line: bytes) -> None:
+    def _read_line(self, line: bytes) -> None:
         if not line.startswith(b"data: "):
             return
         payload = line[len(b"data: ") :].strip()
--- a/features/support/fleet.py
+++ b/features/support/fleet.py
@@ -64,8 +64,8 @@
         self.boxlist = Standin("boxlist", "boxlist", [], self.path)
 
     def start_engine(self, name: str, hall: str = "hall-1", **flags: object) -> Standin:
-        wanted = {**ENGINE_FLAGS, **{k.replace("_", "-"): v for k, v in flags.items()}}
-        arguments = [f"--{flag}={value}" for flag, value in wanted.items()]
+        merged = {**ENGINE_FLAGS, **{k.replace("_", "-"): v for k, v in flags.items()}}
+        arguments = [f"--{flag}={value}" for flag, value in merged.items()]
         engine = Standin("engine", name, arguments, self.path)
         self.engines[name] = engine
         self._engine_rows[name] = {
@@ -74,10 +74,10 @@
             "url": engine.url,
             "data_hall": hall,
             "models": [MODEL],
-            "memory_tokens": wanted["memory-tokens"],
-            "prefill_tokens_per_s": wanted["prefill-tokens-per-s"],
-            "decode_step_s": wanted["decode-step-s"],
-            "chunk_tokens": wanted["chunk-tokens"],
+            "memory_tokens": merged["memory-tokens"],
+            "prefill_tokens_per_s": merged["prefill-tokens-per-s"],
+            "decode_step_s": merged["decode-step-s"],
+            "chunk_tokens": merged["chunk-tokens"],
         }
         return engine
 
@@ -131,13 +131,13 @@
         http_json("PUT", f"{self.boxlist.url}/v1/targets", {"targets": targets})
 
     def wait_until_ready(self) -> None:
-        """Wait until every box is ready and knows all others."""
-        others = len(self.boxes) - 1
+        """Wait until every box is ready and knows all other boxes and all targets."""
+        peer_count = len(self.boxes) - 1
 
         def knows_all(box: BoxProcess) -> bool:
             status = box.status()
             engines = {t["name"] for t in status["listed_targets"]}
-            return len(status["peers"]) == others and engines == {
+            return len(status["peers"]) == peer_count and engines == {
                 *self._engine_rows,
                 *self.services,
             }
--- a/features/support/processes.py
+++ b/features/support/processes.py
@@ -117,24 +117,25 @@
         super().__init__(name, ["gladedrum.daemon.main", "--config", str(path)], directory)
         self._ports: dict[str, int] = {}
 
-    def port(self, what: str) -> int:
-        if what not in self._ports:
-            self._ports[what] = wait_for(
-                f"{self.name} to listen for {what}", lambda: self._logged_port(what)
+    def port(self, listener: str) -> int:
+        """Return the port of a listener, such as ``callers``; waits until it is logged."""
+        if listener not in self._ports:
+            self._ports[listener] = wait_for(
+                f"{self.name} to listen for {listener}", lambda: self._logged_port(listener)
             )
-        return self._ports[what]
+        return self._ports[listener]
 
     @property
-    def operators(self) -> str:
+    def operators_url(self) -> str:
         return f"http://127.0.0.1:{self.port('operators')}"
 
     def ready(self) -> bool:
-        return http_json("GET", f"{self.operators}/readyz")["ready"]
+        return http_json("GET", f"{self.operators_url}/readyz")["ready"]
 
     def status(self) -> dict:
-        return http_json("GET", f"{self.operators}/status")
+        return http_json("GET", f"{self.operators_url}/status")
 
-    def _logged_port(self, what: str) -> int:
+    def _logged_port(self, listener: str) -> int:
         assert self.alive(), self.log.read_text()
         rows = [r for r in self.log_rows() if r.get("message") == "listening"]
-        return next((r["port"] for r in rows if r["what"] == what), 0)
+        return next((r["port"] for r in rows if r["what"] == listener), 0)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -27,7 +27,7 @@
 """Default duration of the fault injection, in seconds."""
 
 MEMORY_SLACK_S = 1.0
-"""Time beyond its bound before reserved memory is checked, in seconds."""
+"""Time beyond `FREE_BOUND_S` before reserved memory is checked, in seconds."""
 
 STREAM_CALLERS = 12
 """Number of extra callers that send only streams, used when all targets pause: each box then has
@@ -59,13 +59,13 @@
 
 
 async def _run_all(args: argparse.Namespace, seeds: list[int], status: list[int]) -> None:
-    broken = 0
+    failed = 0
     try:
         for seed in seeds:
-            broken += await _has_violations(args, seed)
+            failed += await _has_violations(args, seed)
     finally:
-        print(f"{len(seeds)} seeds, {broken} with a broken promise", flush=True)
-        status.append(int(broken > 0))
+        print(f"{len(seeds)} seeds, {failed} with a broken promise", flush=True)
+        status.append(int(failed > 0))
         reactor.stop()
 
 
@@ -94,7 +94,7 @@
     finally:
         await fleet.stop()
     history.notes = read_target_notes(fleet.target_outputs())
-    history.note_target_ends()
+    history.record_crashes()
     violations = check_all(history)
     _report(args, seed, history, violations)
     return violations
@@ -111,26 +111,26 @@
     await fleet.start()
     plan = make_plan(seed, args.length, size)
     callers = _make_callers(fleet, history, args.callers, seed, size)
-    if any(isinstance(planned.fault, TargetsPaused) for planned in plan):
+    if any(isinstance(scheduled.fault, TargetsPaused) for scheduled in plan):
         callers += _make_callers(fleet, history, STREAM_CALLERS, seed, size, StreamCaller)
     if random.Random(f"deadly of {seed}").random() < DEADLY_SHARE:
         callers += _make_callers(fleet, history, 1, seed, size, DeadlyCaller)
     editor = TableEditor(fleet.web, fleet.boxes, history, random.Random(f"edits of {seed}"))
     running = [start(part.run()) for part in (*callers, editor)]
-    for planned in plan:
-        reactor.callLater(planned.at_s, faults.apply, planned.fault)
+    for scheduled in plan:
+        reactor.callLater(scheduled.at_s, faults.apply, scheduled.fault)
     await sleep(reactor, args.length)
     editor.stopping = True
     await fleet.heal()
     await sleep(reactor, RECOVERY_BOUND_S + args.rest)
     for caller in callers:
         caller.stopping = True
-    for ended in running:
-        await ended
+    for deferred in running:
+        await deferred
     await sleep(reactor, FREE_BOUND_S + MEMORY_SLACK_S)
     history.ended_s = time.monotonic()
-    await editor.note_rows()
-    await fleet.note_memory()
+    await editor.record_rows()
+    await fleet.record_reserved_memory()
 
 
 def _make_callers(
--- a/soak/boxes.py
+++ b/soak/boxes.py
@@ -10,7 +10,14 @@
 from .processes import Process, free_port
 from .proxy import LOOPBACK, LinkProxy
 
-__all__ = ["CHANGE_BOUND_S", "FREE_BOUND_S", "KEY_BOUND_S", "LEAVE_BOUND_S", "OPERATOR", "STOP_S"]
+__all__ = [
+    "CHANGE_BOUND_S",
+    "FREE_BOUND_S",
+    "KEY_BOUND_S",
+    "LEAVE_BOUND_S",
+    "OPERATOR_TOKEN",
+    "STOP_S",
+]
 __all__ += ["SoakBox"]
 
 LEAVE_BOUND_S, CHANGE_BOUND_S, KEY_BOUND_S, FREE_BOUND_S = 2.0, 2.0, 5.0, 4.0
@@ -26,10 +33,10 @@
 """Setting `retry_slack` of a new box, in retries: small enough that the retry budget runs out when
 all streams of a box move to other targets at once."""
 
-ANSWER_S = 1.0
+READY_CALL_TIMEOUT_S = 1.0
 """Timeout of a call to the readiness endpoint, in seconds."""
 
-OPERATOR = "operator-of-the-soak"
+OPERATOR_TOKEN = "operator-of-the-soak"
 """Token that authorizes edits of the table."""
 
 _SETTINGS = """\
@@ -95,21 +102,21 @@
             change_ms=CHANGE_BOUND_S * 1000, key_ms=KEY_BOUND_S * 1000,
             free_ms=FREE_BOUND_S * 1000, stop_s=STOP_S, store=self.store_link.port,
             keep="yes" if self.index % 2 else "no", retry_slack=retry_slack,
-            operator=OPERATOR,
+            operator=OPERATOR_TOKEN,
         )  # fmt: skip
         self.path.write_text(text)
 
-    def kill(self, away_s: float) -> None:
-        """Kill the process; it is not restarted for `away_s` seconds."""
-        self.may_start_s = time.monotonic() + away_s
+    def kill(self, downtime_s: float) -> None:
+        """Kill the process; it is not restarted for `downtime_s` seconds."""
+        self.may_start_s = time.monotonic() + downtime_s
         self.process.kill()
 
     async def is_ready(self, web: WebClient) -> bool:
         """Whether the box reports that it accepts requests."""
         url = f"http://{LOOPBACK}:{self.ready_port}/api/ready"
         try:
-            response = await web.send("GET", url, None, None, ANSWER_S)
-            await web.read(response, ANSWER_S)
+            response = await web.send("GET", url, None, None, READY_CALL_TIMEOUT_S)
+            await web.read(response, READY_CALL_TIMEOUT_S)
         except Exception:  # not listening yet
             return False
         return response.code == 200
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -17,7 +17,7 @@
 
 __all__ = ["Caller", "DeadlyCaller", "StreamCaller"]
 
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Timeout of opening a connection, in seconds."""
 
 PAUSE_S = 0.15
@@ -27,7 +27,8 @@
 """Time after its limit for which a caller still waits for a response, in seconds."""
 
 PLAIN_PAUSE_MS, EVENT_PAUSE_MS = (5, 120), (10, 60)
-"""Shortest and longest time of targets for a plain response and for each event, in milliseconds."""
+"""Shortest and longest wait of a target before a plain response and before each event, in
+milliseconds."""
 
 EVENTS, LONG_EVENTS = (2, 25), (15, 30)
 """Shortest and longest streams of a `Caller` and of a `StreamCaller`, in events."""
@@ -152,7 +153,7 @@
     port_of_box : callable
         Returns the port for callers of the box with an index.
     start_of_box : callable
-        Returns the start number of the box with an index.
+        Returns how often the box with an index has been started.
     boxes : int
         Number of boxes.
     keys : callable
@@ -204,7 +205,9 @@
         self._box = self._rng.randrange(self._boxes)
         creator = protocol.ClientCreator(reactor, _Connection)
         try:
-            return await creator.connectTCP(LOOPBACK, self._port_of_box(self._box), CONNECT_S)
+            return await creator.connectTCP(
+                LOOPBACK, self._port_of_box(self._box), CONNECT_TIMEOUT_S
+            )
         except Exception:  # whatever the reason, no request was sent
             return None
 
@@ -247,7 +250,10 @@
 
 
 class StreamCaller(Caller):
-    """A caller that requests only long streams for short prompts, and waits through pauses."""
+    """A caller that requests only long streams for short prompts.
+
+    Its time limit is longer than a pause of the targets.
+    """
 
     _kind_weights, _prompt_weights = (0, 0, 1), (1, 0, 0, 0)
     _events, _limits_s = LONG_EVENTS, (LONG_LIMIT_S,)
--- a/soak/editor.py
+++ b/soak/editor.py
@@ -1,4 +1,4 @@
-"""An operator who edits the table of weights and limits through randomly chosen boxes."""
+"""Edits of the table of weights and limits (`gladedrum.table`) through randomly chosen boxes."""
 
 import random
 import time
@@ -7,7 +7,7 @@
 
 from gladedrum.utils import LostAnswerError, NotSentError, WebClient, sleep
 
-from .boxes import OPERATOR, SoakBox
+from .boxes import OPERATOR_TOKEN, SoakBox
 from .history import Edited, History
 from .proxy import LOOPBACK
 
@@ -16,10 +16,10 @@
 EDIT_EVERY_S = 0.8
 """Mean time between two edits, in seconds."""
 
-ANSWER_S = 4.0
-"""Timeout of an edit, in seconds; after it the result is unknown."""
+CALL_TIMEOUT_S = 4.0
+"""Timeout of a call to a box, in seconds; after it the result of an edit is unknown."""
 
-_HEADERS = {"authorization": f"Bearer {OPERATOR}"}
+_HEADERS = {"authorization": f"Bearer {OPERATOR_TOKEN}"}
 
 
 class TableEditor:
@@ -58,18 +58,18 @@
         body = {"cells": cells, "seen_revision": 0, "who": "soak", "why": "", "dry_run": False}
         url = f"http://{LOOPBACK}:{box.ready_port}/table/edits"
         try:
-            reply = await self._web.call_json("POST", url, body, ANSWER_S, _HEADERS)
+            reply = await self._web.call_json("POST", url, body, CALL_TIMEOUT_S, _HEADERS)
         except (NotSentError, LostAnswerError):
             return
         if reply.body.get("result") == "accepted":
             self._history.edited.append(Edited(time.monotonic(), box.index, row))
 
-    async def note_rows(self) -> None:
+    async def record_rows(self) -> None:
         """Record the rows of the table at each box that responds."""
         for box in self._boxes:
             url = f"http://{LOOPBACK}:{box.ready_port}/table/rows"
             try:
-                reply = await self._web.call_json("GET", url, None, ANSWER_S)
+                reply = await self._web.call_json("GET", url, None, CALL_TIMEOUT_S)
             except (NotSentError, LostAnswerError):
                 continue
             self._history.final_rows[box.index] = set(reply.body["rows"])
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -34,20 +34,20 @@
 )
 from .processes import Process
 from .proxy import Passing
-from .waiting import READY_S, until
+from .waiting import WAIT_TIMEOUT_S, until
 
 __all__ = ["FaultInjector"]
 
 RETRY_SLACKS = (8, 120)
 """Range of `retry_slack` in a changed settings file, in retries."""
 
-SETTINGS_S = 0.5
+INSTANT_CHANGE_S = 0.5
 """Recorded duration of a change that takes effect at once, in seconds."""
 
-LEAVE_S = 30.0
+LEAVE_TIMEOUT_S = 30.0
 """Maximum wait for a leaving target to exit, in seconds; it keeps serving for a while."""
 
-ENDED_CHECK_S, READY_CHECK_S = 0.05, 0.1
+EXIT_CHECK_S, READY_CHECK_S = 0.05, 0.1
 """Poll intervals for the exit of a process and the readiness of a box, in seconds."""
 
 
@@ -71,9 +71,9 @@
 
     def apply(self, fault: Fault) -> None:
         """Start a fault; it ends by itself."""
-        start(self._apply(fault)).addErrback(self._note_failure, fault)
+        start(self._apply(fault)).addErrback(self._record_failure, fault)
 
-    def _note_failure(self, failure: Failure, fault: Fault) -> None:
+    def _record_failure(self, failure: Failure, fault: Fault) -> None:
         """Record a fault that could not be injected; it fails the seed."""
         self._history.not_injected.append(f"{fault}: {failure.getErrorMessage()}")
 
@@ -116,6 +116,7 @@
 
     @contextmanager
     def _recorded(self, what: str, box: int | None, planned: bool = False) -> Iterator[None]:
+        """Record an incident that lasts as long as the context is entered."""
         rows = self._history.incidents
         rows.append(Incident(time.monotonic(), float("inf"), what, box, planned))
         index = len(rows) - 1
@@ -146,7 +147,7 @@
     async def _stop_box(self, box: SoakBox) -> None:
         started = len(box.process.starts_s)
         box.process.send(signal.SIGTERM)
-        await _until_ended(box.process, STOP_S)
+        await _until_exit(box.process, STOP_S)
         if len(box.process.starts_s) == started:
             box.process.kill()
         await self._until_ready(box)
@@ -156,11 +157,11 @@
         with self._recorded("settings", index, planned=True):
             box.write_settings(self._rng.randint(*RETRY_SLACKS))
             box.process.send(signal.SIGHUP)
-            await sleep(reactor, SETTINGS_S)
+            await sleep(reactor, INSTANT_CHANGE_S)
 
     async def _until_ready(self, box: SoakBox) -> None:
         """Wait until a box is ready; a timeout is not an error."""
-        end_s = time.monotonic() + READY_S
+        end_s = time.monotonic() + WAIT_TIMEOUT_S
         while time.monotonic() < end_s and not await box.is_ready(self._fleet.web):
             await sleep(reactor, READY_CHECK_S)
 
@@ -187,7 +188,7 @@
         await sleep(reactor, fault.copy_age_s)
         with self._recorded(STORE_RESTORED, None):
             await self._fleet.switch_store({"goes_back": True})
-            await sleep(reactor, SETTINGS_S)
+            await sleep(reactor, INSTANT_CHANGE_S)
 
     # Targets.
 
@@ -200,12 +201,12 @@
         process = self._fleet.targets[index].process
         with self._recorded("target leaves", None, planned=True):
             process.send(signal.SIGTERM)
-            await _until_ended(process, LEAVE_S)
+            await _until_exit(process, LEAVE_TIMEOUT_S)
 
     async def _advertise(self, fault: TargetAdvertises) -> None:
         # Recorded as planned: all promises hold while boxes react to it.
         target, web = self._fleet.targets[fault.target], self._fleet.web
-        with self._recorded(f"target says {fault.switch}", None, planned=True):
+        with self._recorded(f"target advertises {fault.switch}", None, planned=True):
             await target.set_switches(web, {fault.switch: fault.value})
             await sleep(reactor, fault.for_s)
             await target.set_switches(web, {fault.switch: None})
@@ -213,16 +214,16 @@
     async def _pause_targets(self, for_s: float) -> None:
         # Recorded as planned: all promises hold during a pause.
         with self._recorded("targets paused", None, planned=True):
-            held = {"held_until_s": time.monotonic() + for_s}
+            switches = {"held_until_s": time.monotonic() + for_s}
             web = self._fleet.web
             await defer.gatherResults(
-                [start(target.set_switches(web, held)) for target in self._fleet.targets]
+                [start(target.set_switches(web, switches)) for target in self._fleet.targets]
             )
             await sleep(reactor, for_s)
 
 
-async def _until_ended(process: Process, limit_s: float) -> None:
+async def _until_exit(process: Process, limit_s: float) -> None:
     started = len(process.starts_s)
     end_s = time.monotonic() + limit_s
     while time.monotonic() < end_s and process.is_alive and len(process.starts_s) == started:
-        await sleep(reactor, ENDED_CHECK_S)
+        await sleep(reactor, EXIT_CHECK_S)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -22,9 +22,9 @@
 __all__ = ["Fleet"]
 
 RESTART_CHECK_S = 0.1
-"""Interval at which ended processes are looked for, in seconds."""
+"""Interval at which exited processes are looked for, in seconds."""
 
-SWITCH_S = 5.0
+SWITCH_TIMEOUT_S = 5.0
 """Timeout of a call that sets switches of the store's stand-in, in seconds."""
 
 _NORMAL_STORE = {"outage": False, "silent": False, "delay_s": 0.0, "lose_answers": 0}
@@ -79,7 +79,7 @@
             SoakTarget(i, directory, self._store_port, "plain" if i < plain else "pool")
             for i in range(size.targets)
         ]
-        self._supervision = task.LoopingCall(self._restart_ended)
+        self._supervision = task.LoopingCall(self._restart_exited)
         # Leaves no processes behind if the soak is interrupted.
         reactor.addSystemEventTrigger("before", "shutdown", self.kill)
 
@@ -123,8 +123,8 @@
         await self.web.close()
         await defer.gatherResults([defer.maybeDeferred(link.close) for link in self._links()])
 
-    def _restart_ended(self) -> None:
-        """Restart processes that have ended, as the platform does in production."""
+    def _restart_exited(self) -> None:
+        """Restart processes that have exited, as the platform does in production."""
         now_s = time.monotonic()
         for unit in (*self.boxes, *self.targets):
             if not unit.process.is_alive and now_s >= unit.may_start_s:
@@ -143,17 +143,17 @@
         """Return the keys that callers use, also revoked ones; the first has double weight."""
         return [KEYS[0], *KEYS]
 
-    async def note_memory(self) -> None:
+    async def record_reserved_memory(self) -> None:
         """Record the memory that is still reserved on each target."""
         for target in self.targets:
 
-            async def is_noted(target: SoakTarget = target) -> bool:
-                held = await target.reserved_tokens(self.web)
-                if held is not None:
-                    self._history.final_reserved_tokens[target.process.name] = held
-                return held is not None
+            async def is_recorded(target: SoakTarget = target) -> bool:
+                tokens = await target.reserved_tokens(self.web)
+                if tokens is not None:
+                    self._history.final_reserved_tokens[target.process.name] = tokens
+                return tokens is not None
 
-            await until(f"{target.process.name} reports its memory", is_noted)
+            await until(f"{target.process.name} reports its memory", is_recorded)
 
     def target_outputs(self) -> list[Path]:
         """Return the output files that contain the targets' notes."""
@@ -164,10 +164,10 @@
     async def switch_store(self, switches: dict[str, object]) -> None:
         """Set switches of the store's stand-in."""
         url = f"http://{LOOPBACK}:{self._store_port}/switches"
-        await self.web.call_json("POST", url, switches, SWITCH_S)
+        await self.web.call_json("POST", url, switches, SWITCH_TIMEOUT_S)
 
     def link(self, name: str) -> LinkProxy:
-        """Return a link: ``store N`` of box N, ``target N``, or ``caller N`` to box N."""
+        """Return the link with a name; see `plan.LinkFault`."""
         kind, _, index = name.partition(" ")
         if kind == "target":
             return self.targets[int(index)].link
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -47,9 +47,9 @@
 
 def _send_to_leaving() -> None:
     """Send requests to targets that are leaving or gone."""
-    TargetListFollower.accepts_requests = lambda _keeper, _name: True
-    TargetListFollower.usable = lambda keeper, service: [
-        entry for entry in keeper.entries.values() if entry.service == service
+    TargetListFollower.accepts_requests = lambda _follower, _name: True
+    TargetListFollower.usable = lambda follower, service: [
+        entry for entry in follower.entries.values() if entry.service == service
     ]
 
 
@@ -64,16 +64,16 @@
 
 def _end_silent_attempts() -> None:
     """End a silent attempt before looking for another target."""
-    look = HedgedAttempts._check_silence
+    check_silence = HedgedAttempts._check_silence
 
-    def give_up_or_look(attempts: HedgedAttempts, now_s: float) -> AttemptEnd | None:
+    def end_or_check(attempts: HedgedAttempts, now_s: float) -> AttemptEnd | None:
         if attempts._next_check_s() <= now_s < attempts.deadline_s:
             silent = attempts._attempts[-1]
             if silent.relay.needs_hedge(now_s):
                 return attempts._end(silent, Lost("the target has fallen silent"))
-        return look(attempts, now_s)
+        return check_silence(attempts, now_s)
 
-    HedgedAttempts._check_silence = give_up_or_look
+    HedgedAttempts._check_silence = end_or_check
 
 
 def _keep_memory() -> None:
@@ -99,8 +99,8 @@
 def _ignore_changes() -> None:
     """Keep the first configuration and ignore later ones."""
     apply = ConfigurationFollower._apply
-    ConfigurationFollower._apply = lambda keeper, table: (
-        apply(keeper, table) if keeper.table is None else None
+    ConfigurationFollower._apply = lambda follower, table: (
+        apply(follower, table) if follower.table is None else None
     )
 
 
@@ -108,11 +108,11 @@
     """Apply each version that is read, sometimes an earlier one."""
     seen: list = []
 
-    def apply(keeper: ConfigurationFollower, table) -> None:
+    def apply(follower: ConfigurationFollower, table) -> None:
         if table is None:
             return
         seen.append(table)
-        keeper.table = seen[-2] if len(seen) % 3 == 0 else table
+        follower.table = seen[-2] if len(seen) % 3 == 0 else table
 
     ConfigurationFollower._apply = apply
 
@@ -124,12 +124,12 @@
 
 def _ignore_rates() -> None:
     """Ignore the rate that a target advertises."""
-    TargetRates.note_rate = lambda _rates, *_said: None
+    TargetRates.note_rate = lambda _rates, *_rate: None
 
 
 def _ignore_announced_leaving() -> None:
     """Ignore a target's own announcement that it leaves; use only the list in the store."""
-    TargetListFollower.note_leaving = lambda _keeper, *_start: False
+    TargetListFollower.note_leaving = lambda _follower, *_start: False
 
 
 def _ignore_backoff() -> None:
@@ -138,7 +138,7 @@
 
 
 def _ignore_eras() -> None:
-    """Don't detect that the store was restored from a copy."""
+    """Ignore the store's era, whose change shows that the store was restored from a copy."""
     StoreClient._note_era = lambda client, _reply: client.era
 
 
--- a/soak/history.py
+++ b/soak/history.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "STORE_RESTORED",
-    "TARGET_ENDED",
+    "TARGET_CRASHED",
     "Edited",
     "Ending",
     "History",
@@ -21,13 +21,13 @@
 __all__ += ["read_target_notes"]
 
 
-TARGET_ENDED = "ended by"
-"""Type of the note that a target writes when a request crashes it."""
+TARGET_CRASHED = "ended by"
+"""Type of the note that a target writes when a request crashes it, and of the incident."""
 
 STORE_RESTORED = "store from a copy"
 """Type of the incident while the store is restored from a copy."""
 
-ENDED_S = 1.0
+CRASH_DOWNTIME_S = 1.0
 """How long a target is unavailable after such a crash, in seconds."""
 
 
@@ -44,7 +44,11 @@
 
 
 class Ending(Enum):
-    """How a request ended for its caller; `OPEN` if the caller timed out or still waits."""
+    """How a request ended for its caller.
+
+    `WHOLE` if the response is complete, `BROKEN` if the connection was closed before that or the
+    response is invalid, `OPEN` if the caller timed out or still waits.
+    """
 
     OPEN = "open"
     WHOLE = "whole"
@@ -60,7 +64,7 @@
     request_id : str
         Unique id.
     box, start : int
-        Index of the box that received it, and that box's start number.
+        Index of the box that received it, and how often that box had been started.
     kind : Kind
         Whether it may be sent again.
     key : str
@@ -100,7 +104,29 @@
 
 
 class TargetNote(NamedTuple):
-    """A line of a target's output: a request that arrived or ran, or a change of its own state."""
+    """A line of a target's output.
+
+    Parameters
+    ----------
+    at_s : float
+        Time by the monotonic clock, in seconds.
+    target : str
+        Name of the target.
+    what : str
+        Type of the note. ``"arrived"`` and ``"ran"``: a request arrived or was run. ``"told
+        leaving"``: its response announces that the target leaves. ``"wants rest"``: it is rejected
+        with a backoff. ``"broken off"``: its connection was closed before the last event.
+        ``"broke"``: a fault switch broke its stream. `TARGET_CRASHED`: it crashes the target.
+        ``"reported"`` and ``"ordered"``: a call for a load report or about memory.
+        ``"switched"``: fault switches were set. ``"started"``, ``"leaving"`` and ``"ended"``:
+        state of the target.
+    request_id, organisation : str
+        Request id and organisation of a request, empty if there is none.
+    rate_per_s : float or None
+        Request rate that the target advertises from now on, in ``"switched"``.
+    rest_s : float or None
+        Duration of the backoff, in seconds.
+    """
 
     at_s: float
     target: str
@@ -180,12 +206,12 @@
     final_reserved_tokens: dict[str, int] = field(default_factory=dict)
     ended_s: float = 0.0
 
-    def note_target_ends(self) -> None:
+    def record_crashes(self) -> None:
         """Record crashes caused by requests as incidents: they also cut other requests."""
         self.incidents += [
-            Incident(note.at_s, note.at_s + ENDED_S, TARGET_ENDED, None, False)
+            Incident(note.at_s, note.at_s + CRASH_DOWNTIME_S, TARGET_CRASHED, None, False)
             for note in self.notes
-            if note.what == TARGET_ENDED
+            if note.what == TARGET_CRASHED
         ]
 
     def ran(self) -> Iterable[TargetNote]:
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -88,8 +88,8 @@
         _route(Kind.ONCE, "plain"),
         _route(Kind.REPEATABLE, "plain", repeatable=True, max_targets=2),
         _route(Kind.STREAM, "pool", streaming=True, resumable=True, max_targets=3),
-        # Anonymous: the organisation's name changes with each version, which would make it another
-        # request.
+        # Anonymous: boxes compare requests by organisation too, and its name changes with each
+        # version.
         _route(Kind.DEADLY, "pool", streaming=True, resumable=True, max_targets=2, anonymous=True),
     )
     services = {"plain": Service("plain"), "pool": Service("pool", ENGINE)}
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,7 +1,7 @@
 """The schedule of faults of a soak run, generated from a seed.
 
-A plan mixes faults, such as kills and network partitions, with planned work, such as restarts and
-changes of settings.
+A plan mixes real faults, such as kills and network partitions, with planned work, such as restarts
+and changes of settings. The type `Fault` covers both.
 """
 
 import random
@@ -20,7 +20,7 @@
     "FleetSize",
     "KeyRevoked",
     "LinkFault",
-    "PlannedFault",
+    "ScheduledFault",
     "SettingsChanged",
     "StoreFault",
     "StoreRestored",
@@ -84,7 +84,11 @@
 
 @dataclass(frozen=True)
 class LinkFault:
-    """A link is disturbed: ``store N`` of box N, ``target N``, or ``caller N`` to box N."""
+    """A link gets a mode for `for_s`.
+
+    Links are ``store N`` from box N to the store, ``target N`` from all boxes to target N, and
+    ``caller N`` from callers to box N.
+    """
 
     link: str
     mode: LinkMode
@@ -93,7 +97,7 @@
 
 @dataclass(frozen=True)
 class StoreFault:
-    """A switch of the store's stand-in is set to `value` for `for_s`."""
+    """A fault switch of the store's stand-in, such as an outage, is set to `value` for `for_s`."""
 
     switch: str
     value: bool | int | float
@@ -102,7 +106,7 @@
 
 @dataclass(frozen=True)
 class StoreRestored:
-    """The store is restored from a copy that is `copy_age_s` old."""
+    """A copy of the store is taken, and the store is restored from it `copy_age_s` later."""
 
     copy_age_s: float
 
@@ -147,7 +151,10 @@
 
 @dataclass(frozen=True)
 class TargetsPaused:
-    """All targets pause between events and resume; meanwhile they still answer reports."""
+    """All targets send no events and no plain responses for `for_s`.
+
+    They still answer calls for load reports and calls about memory.
+    """
 
     for_s: float
 
@@ -170,7 +177,7 @@
 
 
 @dataclass(frozen=True)
-class PlannedFault:
+class ScheduledFault:
     """A fault and its start time, in seconds from the start of traffic."""
 
     at_s: float
@@ -190,13 +197,14 @@
 """Share of the faults that are repeated, and the longest delay of the repetition in seconds."""
 
 REVOKE_IN_PARTITION_SHARE = 0.08
-"""Probability, at each step, that a key is revoked during a network partition between a box and the
-store that outlasts the bound on keys."""
+"""Probability, before each fault, that a key is revoked during a network partition between a box
+and the store that lasts longer than `KEY_BOUND_S`."""
 
 MAX_PARTITION_S = 10.0
-"""Time reserved before the end for such a partition, in seconds; all links are restored then."""
+"""Minimum time between the start of such a partition and the end of the fault injection, which
+restores all links, in seconds."""
 
-LONG_PARTITION_SHARE = 0.5
+EXTRA_PARTITION_SHARE = 0.5
 """Share of the seeds with faults that get one more such partition with a revoked key."""
 
 PAUSES_SHARE = 0.6
@@ -219,12 +227,11 @@
 
 ADVERTISED_FOR_S = (6.0, 14.0)
 """How long a target advertises a limit, in seconds: enough for all boxes to learn it, plus one
-window in which the promise is checked."""
+window in which the request rate is checked."""
 
 OUTAGE_LEAVE_SHARE, MAX_OUTAGE_LEAVES, LEAVE_OUTAGE_S = 0.5, 2, (4.0, 7.0)
 """Share of the seeds with faults in which targets leave during a store outage, the maximum number
-of these targets, and the duration of the outage in seconds: longer than boxes may keep sending to
-them."""
+of these targets, and the duration of the outage in seconds: longer than `LEAVE_BOUND_S`."""
 
 RESTORE_SHARE, MAX_RESTORES = 0.5, 2
 """Share of all seeds in which the store is restored from a copy, and the maximum number of
@@ -237,11 +244,11 @@
 """Time between the planned stops of two boxes, in seconds; a stop lasts longer, so they overlap."""
 
 PAUSES_LEAD_S = 8.0
-"""Time before the end of fault injection by which the pauses start, in seconds, if the run is long
-enough."""
+"""Minimum time between the first planned stop and the end of the fault injection, in seconds, if
+the run is long enough."""
 
 
-def make_plan(seed: int, length_s: float, size: FleetSize) -> list[PlannedFault]:
+def make_plan(seed: int, length_s: float, size: FleetSize) -> list[ScheduledFault]:
     """Return the faults of a soak, ordered by time.
 
     Some seeds have only planned work, since some promises hold only in the absence of faults.
@@ -254,13 +261,13 @@
         if not planned_only and rng.random() < REVOKE_IN_PARTITION_SHARE:
             plan += _key_revoked_in_partition(rng, size, at_s)
         fault = _planned_work(rng, size) if planned_only else _any_fault(rng, size)
-        plan += [PlannedFault(at_s, fault)]
+        plan += [ScheduledFault(at_s, fault)]
         if rng.random() < REPEAT_SHARE:
             # The repetition overlaps with the first one.
-            plan += [PlannedFault(at_s + rng.uniform(0.0, REPEAT_WITHIN_S), fault)]
+            plan += [ScheduledFault(at_s + rng.uniform(0.0, REPEAT_WITHIN_S), fault)]
         at_s += rng.expovariate(1 / MEAN_GAP_S)
     latest_s = length_s - MAX_PARTITION_S
-    if not planned_only and latest_s > WARMUP_S and rng.random() < LONG_PARTITION_SHARE:
+    if not planned_only and latest_s > WARMUP_S and rng.random() < EXTRA_PARTITION_SHARE:
         plan += _key_revoked_in_partition(rng, size, rng.uniform(WARMUP_S, latest_s))
     # Separate generators, so that these parts don't change the rest of the plan. Their texts are
     # part of the seeds: changing one changes the plans of all seeds.
@@ -273,29 +280,32 @@
     if not planned_only:
         plan += _leaves_in_outage(random.Random(f"untold of {seed}"), size, length_s)
     plan += _store_restores(random.Random(f"copies of {seed}"), length_s)
-    return sorted(plan, key=lambda planned: planned.at_s)
+    return sorted(plan, key=lambda scheduled: scheduled.at_s)
 
 
-def _store_restores(rng: random.Random, length_s: float) -> list[PlannedFault]:
+def _store_restores(rng: random.Random, length_s: float) -> list[ScheduledFault]:
     """Return restores of the store, which may follow each other closely."""
     if rng.random() >= RESTORE_SHARE:
         return []
     return [
-        PlannedFault(
+        ScheduledFault(
             rng.uniform(WARMUP_S, max(WARMUP_S, length_s)), StoreRestored(rng.uniform(*COPY_AGE_S))
         )
         for _ in range(rng.randint(1, MAX_RESTORES))
     ]
 
 
-def _leaves_in_outage(rng: random.Random, size: FleetSize, length_s: float) -> list[PlannedFault]:
+def _leaves_in_outage(rng: random.Random, size: FleetSize, length_s: float) -> list[ScheduledFault]:
     """Return a store outage in which targets leave, so that only their responses announce it."""
     if rng.random() >= OUTAGE_LEAVE_SHARE:
         return []
     at_s = rng.uniform(WARMUP_S, max(WARMUP_S, length_s / 2))
     leaving = rng.sample(range(size.targets), rng.randint(1, min(MAX_OUTAGE_LEAVES, size.targets)))
-    outage = PlannedFault(at_s, StoreFault("outage", True, rng.uniform(*LEAVE_OUTAGE_S)))
-    return [outage, *(PlannedFault(at_s + rng.uniform(0.1, 1.0), TargetLeaves(t)) for t in leaving)]
+    outage = ScheduledFault(at_s, StoreFault("outage", True, rng.uniform(*LEAVE_OUTAGE_S)))
+    return [
+        outage,
+        *(ScheduledFault(at_s + rng.uniform(0.1, 1.0), TargetLeaves(t)) for t in leaving),
+    ]
 
 
 def _advertised_by_targets(
@@ -305,13 +315,13 @@
     switch: str,
     values: Sequence[float],
     max_targets: int,
-) -> list[PlannedFault]:
+) -> list[ScheduledFault]:
     """Return advertised limits of up to `max_targets` targets."""
     if rng.random() >= ADVERTISE_SHARE:
         return []
     chosen = rng.sample(range(size.targets), rng.randint(1, max_targets))
     return [
-        PlannedFault(
+        ScheduledFault(
             rng.uniform(0.5, max(0.5, length_s / 2)),
             TargetAdvertises(target, switch, rng.choice(values), rng.uniform(*ADVERTISED_FOR_S)),
         )
@@ -321,7 +331,7 @@
 
 def _pauses_in_planned_work(
     rng: random.Random, size: FleetSize, length_s: float
-) -> list[PlannedFault]:
+) -> list[ScheduledFault]:
     """Return pauses of all targets during a rolling restart of all boxes with other changes."""
     if rng.random() >= PAUSES_SHARE:
         return []
@@ -331,24 +341,24 @@
     for box in rng.sample(range(size.boxes), size.boxes):
         changed = SettingsChanged(rng.randrange(size.boxes))
         plan += [
-            PlannedFault(at_s, BoxStopped(box)),
-            PlannedFault(at_s + rng.uniform(*STOP_GAP_S), changed),
-            PlannedFault(at_s + rng.uniform(*STOP_GAP_S), VersionWritten()),
+            ScheduledFault(at_s, BoxStopped(box)),
+            ScheduledFault(at_s + rng.uniform(*STOP_GAP_S), changed),
+            ScheduledFault(at_s + rng.uniform(*STOP_GAP_S), VersionWritten()),
         ]
         at_s += rng.uniform(*STOP_GAP_S)
     at_s = first_s + rng.uniform(0.0, 1.0)
     for _ in range(PAUSES):
-        plan += [PlannedFault(at_s, TargetsPaused(rng.uniform(*PAUSED_S)))]
+        plan += [ScheduledFault(at_s, TargetsPaused(rng.uniform(*PAUSED_S)))]
         at_s += rng.uniform(*PAUSE_GAP_S)
-    return [planned for planned in plan if planned.at_s < length_s]
+    return [scheduled for scheduled in plan if scheduled.at_s < length_s]
 
 
 def _key_revoked_in_partition(
     rng: random.Random, size: FleetSize, at_s: float
-) -> list[PlannedFault]:
+) -> list[ScheduledFault]:
     mode = rng.choice([Silenced(), OneWay(True), OneWay(False), Resetting()])
     partition = LinkFault(f"store {rng.randrange(size.boxes)}", mode, rng.uniform(7.0, 9.0))
-    return [PlannedFault(at_s, partition), PlannedFault(at_s + 0.3, KeyRevoked())]
+    return [ScheduledFault(at_s, partition), ScheduledFault(at_s + 0.3, KeyRevoked())]
 
 
 def _planned_work(rng: random.Random, size: FleetSize) -> Fault:
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -11,7 +11,7 @@
 __all__ = ["Process", "free_port"]
 
 PORT_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-"""File with the range of ports that the system assigns to outgoing connections."""
+"""File with the range of ephemeral ports, which the system assigns to outgoing connections."""
 
 MIN_PORT = 15_000
 """Lowest port to use; common services listen below it."""
@@ -42,7 +42,10 @@
         self.starts_s: list[float] = []
 
     def start(self) -> None:
-        """Start the process; standard output and standard error go to a file each."""
+        """Start the process, unless `end` was called.
+
+        Standard output and standard error go to a file each.
+        """
         if self._ended:
             return
         stem = self._directory / f"{self.name}.{len(self.starts_s)}"
@@ -80,14 +83,13 @@
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """Return a free port that neither the system nor another soak assigns to anything else.
+    """Return a random free port and reserve it against other soaks.
 
-    A box keeps its ports across restarts, so the port lies outside of the range that the system
-    uses for outgoing connections.
+    A box keeps its ports across restarts, so the port lies outside of the ephemeral range.
     """
-    first_given = int(PORT_RANGE.read_text().split()[0])
+    first_ephemeral = int(PORT_RANGE.read_text().split()[0])
     while True:
-        port = random.randrange(MIN_PORT, first_given)
+        port = random.randrange(MIN_PORT, first_ephemeral)
         with socket.socket(socket.AF_INET, kind) as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -17,7 +17,7 @@
 from .boxes import CHANGE_BOUND_S, KEY_BOUND_S, LEAVE_BOUND_S
 from .history import (
     STORE_RESTORED,
-    TARGET_ENDED,
+    TARGET_CRASHED,
     Edited,
     Ending,
     History,
@@ -41,7 +41,7 @@
 RECOVERY_BOUND_S = 12.0
 """Time after the last fault within which the fleet must recover, in seconds."""
 
-ENDS_UNTIL_REFUSED, MAX_LATE_ARRIVALS = 3, 3
+CRASHES_UNTIL_REFUSED, MAX_LATE_ARRIVALS = 3, 3
 """Number of target crashes after which a request must be refused, and the number of times that it
 may still arrive at targets after that."""
 
@@ -62,12 +62,12 @@
 MIN_SERVED_SHARE = 0.75
 """Minimum share of requests that must be served after recovery."""
 
-MIN_JUDGED_REQUESTS = 20
+MIN_CHECKED_REQUESTS = 20
 """Minimum number of requests for which that share is checked."""
 
-JUDGED_LIMIT_SHARE = 0.7
-"""A response that was cut later than this share of its caller's time limit may have been cut by the
-limit, so it does not count against a planned stop."""
+CHECKED_LIMIT_SHARE = 0.7
+"""Share of a caller's time limit. A response that is cut later may have been cut by the time limit,
+so it is no violation by a planned stop."""
 
 
 class Violation(NamedTuple):
@@ -138,14 +138,14 @@
 
 def _keys_end(history: History) -> list[Violation]:
     requests = _requests_by_id(history)
-    late = [
+    revoked = [
         (requests[note.request_id], revoked_s)
         for note in _keyed_runs(history, requests)
         if (revoked_s := history.keys_revoked.get(requests[note.request_id].key)) is not None
     ]
     return [
         Violation("keys end", row.sent_s, f"{row.request_id} ran with a key that was taken away")
-        for row, revoked_s in late
+        for row, revoked_s in revoked
         if row.sent_s > revoked_s + KEY_BOUND_S
     ]
 
@@ -204,7 +204,7 @@
         if row.ending is Ending.BROKEN
         and row.request_id in ran
         and _is_undisturbed(history, row.box, row.sent_s, row.ended_s)
-        and row.ended_s - row.sent_s < JUDGED_LIMIT_SHARE * row.limit_s
+        and row.ended_s - row.sent_s < CHECKED_LIMIT_SHARE * row.limit_s
     ]
 
 
@@ -234,30 +234,33 @@
 
 
 def _deadly_requests_are_refused(history: History) -> list[Violation]:
-    """Boxes that can know that a request crashed `ENDS_UNTIL_REFUSED` targets refuse it."""
+    """Boxes refuse a request once they can know that it crashed `CRASHES_UNTIL_REFUSED` targets."""
     requests = _requests_by_id(history)
-    ends_s = sorted(note.at_s for note in _notes_of(history, TARGET_ENDED))
-    if len(ends_s) < ENDS_UNTIL_REFUSED:
+    crashes_s = sorted(note.at_s for note in _notes_of(history, TARGET_CRASHED))
+    if len(crashes_s) < CRASHES_UNTIL_REFUSED:
         return []
-    known_s = ends_s[ENDS_UNTIL_REFUSED - 1] + SETTLE_S
-    faults = [row for row in history.incidents if row.what != TARGET_ENDED]
-    others = dataclasses.replace(history, incidents=faults)
+    known_s = crashes_s[CRASHES_UNTIL_REFUSED - 1] + SETTLE_S
+    faults = [row for row in history.incidents if row.what != TARGET_CRASHED]
+    other_faults = dataclasses.replace(history, incidents=faults)
     late = [
         note
         for note in _notes_of(history, "arrived")
         if note.at_s > known_s
         and (row := requests.get(note.request_id)) is not None
         and row.kind is Kind.DEADLY
-        and _is_undisturbed(others, row.box, row.sent_s, note.at_s)
+        and _is_undisturbed(other_faults, row.box, row.sent_s, note.at_s)
     ]
     if len(late) <= MAX_LATE_ARRIVALS:
         return []
-    text = f"sent {len(late)} times more, {len(ends_s)} ends in all"
+    text = f"sent {len(late)} times more, {len(crashes_s)} ends in all"
     return [Violation("what ends targets is refused", late[MAX_LATE_ARRIVALS].at_s, text)]
 
 
 def _rates_are_kept(history: History) -> list[Violation]:
-    """All boxes together keep to a target's advertised rate; reports and orders count as well."""
+    """All boxes together keep to a target's advertised rate.
+
+    Calls for load reports and calls about memory count as requests.
+    """
     found = []
     for target, from_s, to_s, per_s in _advertised_rates(history):
         arrived_s = [
@@ -280,14 +283,14 @@
 
 def _advertised_rates(history: History) -> Iterable[tuple[str, float, float, float]]:
     """Iterate over advertised rates: target, start and end in seconds, requests per second."""
-    named: dict[str, TargetNote] = {}
+    advertised: dict[str, TargetNote] = {}
     for note in _notes_of(history, "switched"):
-        before = named.pop(note.target, None)
+        before = advertised.pop(note.target, None)
         if before is not None:
             yield note.target, before.at_s, note.at_s, before.rate_per_s
         if note.rate_per_s is not None:
-            named[note.target] = note
-    for target, before in named.items():
+            advertised[note.target] = note
+    for target, before in advertised.items():
         yield target, before.at_s, history.ended_s, before.rate_per_s
 
 
@@ -398,7 +401,7 @@
         and row.kind is not Kind.DEADLY
     ]
     served = sum(row.status == HTTPStatus.OK and row.ending is Ending.WHOLE for row in rows)
-    if len(rows) < MIN_JUDGED_REQUESTS or served >= MIN_SERVED_SHARE * len(rows):
+    if len(rows) < MIN_CHECKED_REQUESTS or served >= MIN_SERVED_SHARE * len(rows):
         return []
     return [Violation("the fleet recovers", last_s, f"{served} of {len(rows)} served at the end")]
 
@@ -408,7 +411,7 @@
 
 
 def _keyed_runs(history: History, requests: dict[str, SentRequest]) -> list[TargetNote]:
-    """Return the runs of requests with an API key; their organisation's name holds the version."""
+    """Return the notes of runs with an API key, whose organisation names the version."""
     return [
         note
         for note in history.ran()
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class OneWay:
-    """As `Silenced`, but in one direction: towards the connecting side or towards the server."""
+    """As `Silenced`, but only towards the connecting side (`to_caller`) or towards the server."""
 
     to_caller: bool
 
@@ -99,7 +99,7 @@
 
 
 class _Side(protocol.Protocol):
-    """One of the two connections of a proxied connection, with the bytes to be written to it."""
+    """One of the two TCP connections that the proxy joins, with the bytes to be written to it."""
 
     def __init__(self, link: LinkProxy, to_caller: bool):
         self._link = link
@@ -125,7 +125,10 @@
         self.other.pass_end()
 
     def pass_on(self, data: bytes) -> None:
-        """Write or hold back bytes of the other side by the link's mode; ``b""`` is its end."""
+        """Write, delay or hold back bytes from the other side, depending on the link's mode.
+
+        ``b""`` means that the other side is closed.
+        """
         by_s = self._link.mode.by_s if isinstance(self._link.mode, Delayed) else 0.0
         if not by_s and not self._delayed:
             self._hold(data)
--- a/soak/targets.py
+++ b/soak/targets.py
@@ -14,13 +14,13 @@
 __all__ = ["ENGINE", "SoakTarget"]
 
 ENGINE = EngineTraits(slots=8, memory_tokens=232_000)
-"""Traits of each model engine in the configuration."""
+"""Traits of the targets of service ``pool`` in the configuration."""
 
 SERVE_ON_S = 6.0
-"""How long a leaving target keeps serving, in seconds: the bound on leaving, then the longest
-stream with a pause in it."""
+"""How long a leaving target keeps serving, in seconds: `LEAVE_BOUND_S`, then the longest stream
+with a pause in it."""
 
-ANSWER_S = 2.0
+CALL_TIMEOUT_S = 2.0
 """Timeout of the soak's own calls to a target, in seconds."""
 
 
@@ -56,16 +56,16 @@
         self.process = Process(f"target-{index}", arguments, directory)
         self.may_start_s = 0.0
 
-    def kill(self, away_s: float) -> None:
-        """Kill the process; it is not restarted for `away_s` seconds."""
-        self.may_start_s = time.monotonic() + away_s
+    def kill(self, downtime_s: float) -> None:
+        """Kill the process; it is not restarted for `downtime_s` seconds."""
+        self.may_start_s = time.monotonic() + downtime_s
         self.process.kill()
 
     async def set_switches(self, web: WebClient, switches: dict[str, object]) -> None:
         """Set fault switches; no effect on a target that is restarting."""
         url = f"http://{LOOPBACK}:{self.port}/switches"
         try:
-            await web.call_json("POST", url, switches, ANSWER_S)
+            await web.call_json("POST", url, switches, CALL_TIMEOUT_S)
         except Exception as exc:  # the target is restarting
             print(json.dumps({"what": "switch not set", "reason": repr(exc)}))
 
@@ -73,7 +73,7 @@
         """Return the memory reserved on the target, in tokens; None while it restarts."""
         url = f"http://{LOOPBACK}:{self.port}/api/report"
         try:
-            reply = await web.call_json("GET", url, None, ANSWER_S)
+            reply = await web.call_json("GET", url, None, CALL_TIMEOUT_S)
         except (NotSentError, LostAnswerError):
             return None
         return sum(row["tokens"] for row in reply.body["tickets"])
--- a/soak/tests/test_promises.py
+++ b/soak/tests/test_promises.py
@@ -26,7 +26,7 @@
     return TargetNote(at_s, target, what, request_id, f"org-{version}")
 
 
-def left(target, at_s):
+def leaving(target, at_s):
     return TargetNote(at_s, target, "leaving", "", "")
 
 
@@ -84,7 +84,7 @@
         ],
     ),
     "a leaving target gets nothing": changed(
-        notes=[left("t1", 97.0), ran(what="arrived", at_s=100.0)]
+        notes=[leaving("t1", 97.0), ran(what="arrived", at_s=100.0)]
     ),
     "no version reverts": changed(
         requests=[sent_request(), sent_request("r2", sent_s=101.0)],
@@ -145,8 +145,8 @@
     history = INVALID[promise]
     excused = dataclasses.replace(history, incidents=[*history.incidents, fault])
     assert check_all(excused) == []
-    elsewhere = fault._replace(box=1)
-    assert check_all(dataclasses.replace(history, incidents=[*history.incidents, elsewhere]))
+    fault_elsewhere = fault._replace(box=1)
+    assert check_all(dataclasses.replace(history, incidents=[*history.incidents, fault_elsewhere]))
 
 
 def test_a_seed_gives_the_same_plan_each_time():
--- a/soak/waiting.py
+++ b/soak/waiting.py
@@ -7,11 +7,10 @@
 
 from gladedrum.utils import sleep
 
-__all__ = ["READY_S", "until"]
+__all__ = ["WAIT_TIMEOUT_S", "until"]
 
-READY_S = 120.0
-"""Timeout for the fleet or a box to become ready, in seconds: several starts of a box on a busy
-machine."""
+WAIT_TIMEOUT_S = 120.0
+"""Timeout of a wait, in seconds: long enough for several starts of a box on a busy machine."""
 
 CHECK_S = 0.1
 """Interval at which a condition is checked, in seconds."""
@@ -23,10 +22,10 @@
     Raises
     ------
     TimeoutError
-        After `READY_S`, with `what` in its message.
+        After `WAIT_TIMEOUT_S`, with `what` in its message.
     """
-    end_s = time.monotonic() + READY_S
+    end_s = time.monotonic() + WAIT_TIMEOUT_S
     while not await condition():
         if time.monotonic() > end_s:
-            raise TimeoutError(f"timed out after {READY_S:g} s waiting until {what}")
+            raise TimeoutError(f"timed out after {WAIT_TIMEOUT_S:g} s waiting until {what}")
         await sleep(reactor, CHECK_S)
