--- a/gladedrum/replay/__init__.py
+++ b/gladedrum/replay/__init__.py
@@ -1,4 +1,8 @@
-"""Traces of requests: making them, replaying them, comparing policies on them."""
+"""Request traces: generation, replay and comparison of scheduling policies.
+
+A trace is a list of requests with their arrival times. It is replayed in one process under a
+simulated clock (`replay_locally`) or against running boxes (`replay_live`).
+"""
 
 from .caller import *
 from .caller import __all__ as _caller_all
--- a/gladedrum/replay/caller.py
+++ b/gladedrum/replay/caller.py
@@ -1,4 +1,4 @@
-"""A caller of the serving layer, as a client program would be."""
+"""HTTP client that sends completions to a box and records the result."""
 
 import json
 from collections.abc import Mapping
@@ -17,24 +17,24 @@
 
 
 class CallRecord(NamedTuple):
-    """What a caller saw of one request.
+    """The result of one request as its caller sees it.
 
     Parameters
     ----------
     first_token_s : float or None
-        Time to first token, in seconds; None if none came.
+        Time to first token, in seconds; None if the answer has no token.
     total_s : float
-        Time to the end of the answer, in seconds.
+        Time until the answer ends, in seconds.
     outcome : str
-        The outcome as the answer told it; ``unknown`` if it told none.
+        The outcome that the answer reports; ``unknown`` if it reports none.
     answer_tokens : int
-        The number of tokens that came.
+        Number of tokens received.
     text : str
-        The answer.
+        Text of the answer.
     retry_after_s : float or None
-        When the answer said to come back.
+        Delay from the ``retry-after`` header, in seconds.
     reason : str
-        What the answer gave as the reason, empty if it is whole.
+        Error message from the answer or the connection; empty if there is none.
     """
 
     first_token_s: float | None
@@ -47,16 +47,16 @@
 
 
 class Caller:
-    """Sends completions and notes what comes back.
+    """Sends completion requests and records their results.
 
     Parameters
     ----------
     url : str
-        Base URL of the callers' interface.
+        Base URL of a box's interface for callers.
     web : WebClient
-        Makes the calls.
+        HTTP client that sends the requests.
     clock : IReactorTime
-        Measures times.
+        Source of time.
     """
 
     def __init__(self, url: str, web: WebClient, clock: IReactorTime):
@@ -72,22 +72,22 @@
         headers: Mapping[str, str],
         timeout_s: float,
     ) -> CallRecord:
-        """Stream a completion and return the record of it; never raises for its failure."""
-        began_s = self._clock.seconds()
+        """Stream a completion and return its record; a failed request does not raise."""
+        start_s = self._clock.seconds()
         body = {"model": model, "prompt": prompt, "max_tokens": max_tokens, "stream": True}
         try:
             response = await self._web.send("POST", self._url, body, headers, timeout_s)
         except NotSentError as exc:
-            return CallRecord(None, self._clock.seconds() - began_s, "not-run", reason=str(exc))
+            return CallRecord(None, self._clock.seconds() - start_s, "not-run", reason=str(exc))
         except LostAnswerError as exc:
-            return CallRecord(None, self._clock.seconds() - began_s, "unknown", reason=str(exc))
+            return CallRecord(None, self._clock.seconds() - start_s, "unknown", reason=str(exc))
         reader = _AnswerReader(self._clock)
         response.deliverBody(reader)
         await reader.ended
-        total_s = self._clock.seconds() - began_s
+        total_s = self._clock.seconds() - start_s
         outcome = response.headers.getRawHeaders("gladedrum-outcome", [reader.outcome])[0]
         retry_after = response.headers.getRawHeaders("retry-after", [None])[0]
-        first_s = None if reader.first_s is None else reader.first_s - began_s
+        first_s = None if reader.first_s is None else reader.first_s - start_s
         return CallRecord(
             first_s,
             total_s,
@@ -100,7 +100,7 @@
 
 
 class _AnswerReader(Protocol):
-    """Reads a streamed answer, or the JSON body of a refusal."""
+    """Parses a streamed answer, or the JSON body of a refusal."""
 
     def __init__(self, clock: IReactorTime):
         self.ended: defer.Deferred[None] = defer.Deferred()
@@ -112,20 +112,20 @@
         self._buffer = b""
 
     def dataReceived(self, data: bytes) -> None:
-        """Split what came into events."""
+        """Parse the complete events received so far."""
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in events:
             if event.startswith(_DATA + b"{"):
-                self._take(json.loads(event[len(_DATA) :]))
+                self._read_body(json.loads(event[len(_DATA) :]))
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """End the record."""
+        """Parse a remaining JSON body and fire `ended`."""
         if self._buffer.startswith(b"{"):
-            self._take(json.loads(self._buffer))
+            self._read_body(json.loads(self._buffer))
         if not self.ended.called:
             self.ended.callback(None)
 
-    def _take(self, body: dict[str, Any]) -> None:
+    def _read_body(self, body: dict[str, Any]) -> None:
         self.outcome = body.get("gladedrum", {}).get("outcome", self.outcome)
         self.reason = body.get("error", {}).get("message", self.reason)
         for choice in body.get("choices", []):
--- a/gladedrum/replay/compare.py
+++ b/gladedrum/replay/compare.py
@@ -1,4 +1,4 @@
-"""Comparison of policies on one trace, and how it is shown."""
+"""Comparison of scheduling policies on one trace, with tables and a bar chart."""
 
 from collections.abc import Callable, Sequence
 from pathlib import Path
@@ -13,45 +13,45 @@
 HEADING = [
     "POLICY", "LENGTH", "REQUESTS", "COMPLETED", "NOT RUN", "FAILED", "TTFT P50", "P95", "P99"
 ]  # fmt: skip
-"""Heading of `comparison_rows`; times in seconds."""
+"""Column headings of `comparison_rows`; times in seconds."""
 
 SUMMARY_HEADING = [
     "POLICY", "SLOWDOWN P50", "P95", "P99", "OF P95", "DOSSIERS IN TIME", "LATE", "TOKENS/S", "FAIR"
 ]  # fmt: skip
-"""Heading of `summary_rows`."""
+"""Column headings of `summary_rows`."""
 
 
 def compare_locally(
     rows: Sequence[TraceRow],
     policies: Sequence[str],
     fleet: LocalFleet,
-    note: Callable[[str], None] = lambda _policy: None,
+    on_policy: Callable[[str], None] = lambda _policy: None,
 ) -> list[PolicyFigures]:
     """Replay a trace under each policy, with and without its long prompts.
 
     Parameters
     ----------
     rows : sequence of TraceRow
-        The trace.
+        Trace to replay.
     policies : sequence of str
-        Names of policies.
+        Names of the policies to compare.
     fleet : LocalFleet
-        What it is replayed on.
+        Simulated engines that run the trace.
     note : callable
-        Called with each policy's name before its replay.
+        Called with a policy's name before its replay.
     """
     short = list(without_long(rows, LONG_PROMPT_TOKENS))
-    found = []
+    results = []
     for name in policies:
-        note(name)
-        whole = replay_locally(rows, name, fleet)
-        alone = replay_locally(short, name, fleet)
-        found.append(figures(name, whole, alone))
-    return found
+        on_policy(name)
+        full = replay_locally(rows, name, fleet)
+        baseline = replay_locally(short, name, fleet)
+        results.append(figures(name, full, baseline))
+    return results
 
 
-def comparison_rows(found: Sequence[PolicyFigures]) -> list[list[object]]:
-    """Return the rows of the table by prompt length."""
+def comparison_rows(results: Sequence[PolicyFigures]) -> list[list[object]]:
+    """Return the table rows, one for each policy and prompt-length class."""
     return [
         [
             f["policy"],
@@ -64,13 +64,13 @@
             row["first_token_s"]["p95"],
             row["first_token_s"]["p99"],
         ]
-        for f in found
+        for f in results
         for length, row in f["by_length"].items()
     ]
 
 
-def summary_rows(found: Sequence[PolicyFigures]) -> list[list[object]]:
-    """Return the rows of the table with one row a policy."""
+def summary_rows(results: Sequence[PolicyFigures]) -> list[list[object]]:
+    """Return the table rows, one for each policy."""
     return [
         [
             f["policy"],
@@ -83,25 +83,27 @@
             f["goodput_tokens_per_s"],
             f["fairness"],
         ]
-        for f in found
+        for f in results
     ]
 
 
-def draw_comparison(found: Sequence[PolicyFigures], path: str | Path) -> None:
-    """Draw the 95th percentile of the first token by prompt length, a bar a policy.
+def draw_comparison(results: Sequence[PolicyFigures], path: str | Path) -> None:
+    """Draw a bar chart of the 95th percentile of the time to first token.
+
+    Bars are grouped by prompt length, with one bar per policy in each group.
 
     Raises
     ------
     ImportError
-        If matplotlib is not installed; it is in the ``plots`` extra.
+        If matplotlib is not installed; the ``plots`` extra provides it.
     """
     from matplotlib.figure import Figure
 
-    lengths = sorted({length for f in found for length in f["by_length"]})
+    lengths = sorted({length for f in results for length in f["by_length"]})
     figure = Figure(figsize=(9, 4.5), layout="constrained")
     axes = figure.subplots()
-    width = 0.8 / len(found)
-    for number, f in enumerate(found):
+    width = 0.8 / len(results)
+    for number, f in enumerate(results):
         places = [n + number * width for n in range(len(lengths))]
         heights = [
             f["by_length"][length]["first_token_s"]["p95"] if length in f["by_length"] else 0
--- a/gladedrum/replay/live.py
+++ b/gladedrum/replay/live.py
@@ -1,4 +1,4 @@
-"""Replay of a trace against live boxes."""
+"""Replay of a trace against running boxes."""
 
 import itertools
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 __all__ = ["replay_live"]
 
 BYTES_PER_TOKEN = 4
-_WORD = "gladedrum "
+_FILLER = "gladedrum "
 
 
 async def replay_live(
@@ -24,32 +24,32 @@
     reactor: IReactorTime,
     speed: float = 1.0,
 ) -> list[ReplayRecord]:
-    """Send the requests of a trace to boxes, each at its time.
+    """Send each request of a trace to a box at its arrival time.
 
     Parameters
     ----------
     rows : sequence of TraceRow
-        The trace, in order of arrival.
+        Trace to replay, in order of arrival.
     urls : sequence of str
-        The callers' addresses of the boxes; requests go to them in turn.
+        Base URLs of the boxes' interfaces for callers; requests go to them round-robin.
     model : str
-        The model to ask.
+        Model that every request names.
     reactor : IReactorTime
-        Measures times.
+        Source of time.
     speed : float
-        How many seconds of the trace pass in one second.
+        Speed-up of the replay: seconds of the trace per second of real time.
 
     Returns
     -------
     list of ReplayRecord
-        One for each row, in order.
+        One record per row, in the order of the rows.
     """
     web = WebClient(reactor)
     callers = itertools.cycle([Caller(url, web, reactor) for url in urls])
-    began_s = reactor.seconds()
+    start_s = reactor.seconds()
     calls = []
     for number, row in enumerate(rows):
-        await sleep(reactor, began_s + row.arrival_s / speed - reactor.seconds())
+        await sleep(reactor, start_s + row.arrival_s / speed - reactor.seconds())
         calls.append(start(_send(next(callers), row, number, model)))
     return await defer.gatherResults(calls)
 
@@ -60,10 +60,10 @@
         "gladedrum-class": row.request_class,
         "gladedrum-timeout": str(row.deadline_s),
     }
-    # The box ends the request at its deadline; the caller waits a little longer.
+    # The box ends the request at its deadline; the margin lets its answer arrive.
     timeout_s = row.deadline_s + 10
     record = await caller.complete(
-        model, prompt_of(row, number), row.output_tokens, headers, timeout_s
+        model, make_prompt(row, number), row.output_tokens, headers, timeout_s
     )
     return _replay_record(row, record)
 
@@ -73,12 +73,12 @@
     return ReplayRecord(row, outcome, record.first_token_s, record.total_s, record.reason)
 
 
-def prompt_of(row: TraceRow, number: int) -> str:
-    """Return a prompt of the row's length, whose leading part is shared as the row says."""
-    shared = _filled(f"shared {row.prefix} ", row.prefix_tokens) if row.prefix else ""
-    return shared + _filled(f"request {number} ", row.prompt_tokens - row.prefix_tokens)
+def make_prompt(row: TraceRow, number: int) -> str:
+    """Return a prompt of the row's length; rows with the same prefix share its leading part."""
+    shared = _pad_to_length(f"shared {row.prefix} ", row.prefix_tokens) if row.prefix else ""
+    return shared + _pad_to_length(f"request {number} ", row.prompt_tokens - row.prefix_tokens)
 
 
-def _filled(head: str, tokens: int) -> str:
+def _pad_to_length(head: str, tokens: int) -> str:
     length = tokens * BYTES_PER_TOKEN
-    return (head + _WORD * (length // len(_WORD) + 1))[:length]
+    return (head + _FILLER * (length // len(_FILLER) + 1))[:length]
--- a/gladedrum/replay/local.py
+++ b/gladedrum/replay/local.py
@@ -1,8 +1,8 @@
 """Replay of a trace in one process under a deterministic clock.
 
-The decisions are the product's own (`scheduling`) and the engines are the stand-in engine's
-own model; what is added here is the clock and the messages between them. Two replays of the
-same trace under the same policy agree to the digit.
+A discrete-event simulation. It runs the production code for scheduling decisions (`scheduling`)
+on the engine model of the stand-in (`standins.engine_core`), and adds a simulated clock and
+message delays. Replays of the same trace under the same policy give identical results.
 """
 
 import hashlib
@@ -36,24 +36,25 @@
 __all__ = ["LocalFleet", "ReplayRecord", "replay_locally"]
 
 MESSAGE_S = 0.001
-"""The time that a message between a box and another box or a target takes, in seconds."""
+"""One-way delay of a message between boxes, or between a box and a target, in seconds."""
 
 _TICK_S = 0.05
+"""Interval between checks for queued requests that are too late to start, in seconds."""
 
 
 class LocalFleet(NamedTuple):
-    """The fleet that a trace is replayed on.
+    """Simulated engines that run a trace.
 
     Parameters
     ----------
     engines : int
-        How many.
+        Number of engines.
     spec : EngineSpec
-        Their size and speed.
+        Size and speed of each engine.
     lost_engines : int
-        How many of them die.
+        Number of engines that fail.
     lost_at_s : float
-        When they die, in seconds from the start.
+        Time of the failure, in seconds from the start.
     """
 
     engines: int = 18
@@ -63,18 +64,18 @@
 
 
 class ReplayRecord(NamedTuple):
-    """What became of a request of a trace.
+    """The result of one request of a trace.
 
     Parameters
     ----------
     row : TraceRow
-        The request.
+        Row of the request in the trace.
     outcome : str
         ``completed``, ``not-run`` or ``failed``.
     first_token_s, total_s : float or None
         Time to first token and to the end of the answer, in seconds.
     reason : str
-        Why it is not complete.
+        Why the request did not complete; empty if it did.
     """
 
     row: TraceRow
@@ -87,7 +88,7 @@
 def replay_locally(
     rows: Sequence[TraceRow], policy_name: str, fleet: LocalFleet
 ) -> list[ReplayRecord]:
-    """Replay a trace; returns a record for each row, in the order of the rows."""
+    """Replay a trace and return one record per row, in the order of the rows."""
     return _Replay(rows, policy(policy_name), fleet).run()
 
 
@@ -97,12 +98,15 @@
     queue: TargetQueue
     core: EngineCore
     stepping: bool = False
-    dead: bool = False
+    failed: bool = False
 
 
 @dataclass
-class _Part:
-    """A segment of a request, or the whole of it, and where it is to run."""
+class _Segment:
+    """A segment of a request and the engine that runs it.
+
+    A request that is not split has one segment.
+    """
 
     job: Job
     engine: _Engine
@@ -114,59 +118,59 @@
     number: int
     row: TraceRow
     job: Job
-    parts: list[_Part] = field(default_factory=list)
+    segments: list[_Segment] = field(default_factory=list)
     granted: int = 0
-    first_s: float | None = None
+    first_token_at_s: float | None = None
     record: ReplayRecord | None = None
 
 
 class _Replay:
-    """A replay under way: the clock and what is to happen."""
+    """State of one replay: the simulated clock, the pending events, engines and requests."""
 
     def __init__(self, rows: Sequence[TraceRow], chosen: Policy, fleet: LocalFleet):
         self._policy = chosen
         self._fleet = fleet
         self._now_s = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._engines = {e.name: e for e in _make_engines(fleet)}
         self._requests = [
             _Request(number, row, _job(number, row)) for number, row in enumerate(rows)
         ]
         self._by_id: dict[str, _Request] = {}
-        self._open = len(self._requests)
+        self._unfinished = len(self._requests)
 
     def run(self) -> list[ReplayRecord]:
         for req in self._requests:
             self._at(req.row.arrival_s, lambda r=req: self._arrive(r))
         if self._fleet.lost_engines:
-            self._at(self._fleet.lost_at_s, self._lose_engines)
+            self._at(self._fleet.lost_at_s, self._fail_engines)
         self._at(_TICK_S, self._tick)
-        while self._open:
+        while self._unfinished:
             self._now_s, _, action = heapq.heappop(self._events)
             action()
         return [req.record for req in self._requests]
 
     def _at(self, at_s: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_s, next(self._order), action))
+        heapq.heappush(self._events, (at_s, next(self._sequence), action))
 
     def _after(self, delay_s: float, action: Callable[[], None]) -> None:
         self._at(self._now_s + delay_s, action)
 
-    # Placement, as `entry.placement` does it.
+    # Placement, with the same steps as `entry.placement`.
 
     def _arrive(self, req: _Request) -> None:
-        self._at(req.job.deadline_s, lambda: self._end(req, "failed", "its time is up"))
+        self._at(req.job.deadline_s, lambda: self._finish(req, "failed", "deadline exceeded"))
         views = [
             TargetView(e.name, e.queue.traits.memory_tokens)
             for e in self._engines.values()
-            if not e.dead
+            if not e.failed
         ]
         memory_tokens = self._fleet.spec.memory_tokens
         jobs = segment_jobs(req.job, memory_tokens, len(views), self._policy.segments)
         names = self._policy.candidates(jobs[0], views, len(jobs)) if jobs else []
         if len(names) < max(1, len(jobs)):
-            self._end(req, "not-run", "no target would take it")
+            self._finish(req, "not-run", "no target can run the request")
             return
         self._after(2 * MESSAGE_S, lambda: self._choose(req, jobs, names))
 
@@ -178,32 +182,32 @@
         accepted = order_by_cost(quotes)
         if len(accepted) < len(jobs):
             refused = best_refusal(quotes)
-            self._end(req, "not-run", refused.reason if refused else "")
+            self._finish(req, "not-run", refused.reason if refused else "")
             return
         chosen = reservation_order(accepted[: len(jobs)])
-        req.parts = [
-            _Part(job, self._engines[name]) for job, name in zip(jobs, chosen, strict=True)
+        req.segments = [
+            _Segment(job, self._engines[name]) for job, name in zip(jobs, chosen, strict=True)
         ]
-        spare = accepted[1:] if len(jobs) == 1 else []
-        self._by_id.update({part.job.job_id: req for part in req.parts})
-        self._after(MESSAGE_S, lambda: self._reserve(req, spare))
+        alternatives = accepted[1:] if len(jobs) == 1 else []
+        self._by_id.update({segment.job.job_id: req for segment in req.segments})
+        self._after(MESSAGE_S, lambda: self._reserve(req, alternatives))
 
-    def _reserve(self, req: _Request, spare: list[str]) -> None:
-        """Ask for the next part's reservation; its grant asks for the one after it."""
+    def _reserve(self, req: _Request, alternatives: list[str]) -> None:
+        """Request a reservation for the next segment; its grant triggers the following one."""
         if req.record is not None:
             return
-        part = req.parts[req.granted]
-        answer = part.engine.queue.offer(part.job, self._policy, self._now_s)
+        segment = req.segments[req.granted]
+        answer = segment.engine.queue.offer(segment.job, self._policy, self._now_s)
         if isinstance(answer, Refused):
-            if not spare:
-                self._end(req, "not-run", answer.reason)
+            if not alternatives:
+                self._finish(req, "not-run", answer.reason)
                 return
-            part.engine = self._engines[spare[0]]
-            self._after(MESSAGE_S, lambda: self._reserve(req, spare[1:]))
+            segment.engine = self._engines[alternatives[0]]
+            self._after(MESSAGE_S, lambda: self._reserve(req, alternatives[1:]))
             return
-        self._pump(part.engine)
+        self._send_grants(segment.engine)
 
-    def _pump(self, engine: _Engine) -> None:
+    def _send_grants(self, engine: _Engine) -> None:
         for grant in engine.queue.pump(self._now_s):
             self._after(MESSAGE_S, lambda g=grant: self._granted(g))
 
@@ -211,9 +215,9 @@
         req = self._by_id[grant.job.job_id]
         if req.record is not None:
             return
-        req.parts[req.granted].priority = grant.priority
+        req.segments[req.granted].priority = grant.priority
         req.granted += 1
-        if req.granted < len(req.parts):
+        if req.granted < len(req.segments):
             self._after(MESSAGE_S, lambda: self._reserve(req, []))
         else:
             self._after(MESSAGE_S, lambda: self._start(req, 0))
@@ -221,24 +225,24 @@
     # Engines.
 
     def _start(self, req: _Request, number: int) -> None:
-        part = req.parts[number]
-        if req.record is not None or part.engine.dead:
+        segment = req.segments[number]
+        if req.record is not None or segment.engine.failed:
             return
-        part.engine.core.submit(
+        segment.engine.core.submit(
             Session(
-                part.job.job_id,
-                part.job.prompt_tokens,
-                part.job.output_tokens,
-                part.priority,
-                _blocks(req.row, req.number) if len(req.parts) == 1 else (),
-                start=part.job.start_tokens,
-                hold=number + 1 < len(req.parts),
+                segment.job.job_id,
+                segment.job.prompt_tokens,
+                segment.job.output_tokens,
+                segment.priority,
+                _blocks(req.row, req.number) if len(req.segments) == 1 else (),
+                start=segment.job.start_tokens,
+                hold=number + 1 < len(req.segments),
             )
         )
-        self._step(part.engine)
+        self._step(segment.engine)
 
     def _step(self, engine: _Engine) -> None:
-        if engine.stepping or engine.dead:
+        if engine.stepping or engine.failed:
             return
         step = engine.core.begin_step()
         if step is not None:
@@ -248,59 +252,61 @@
 
     def _finish_step(self, engine: _Engine, chunks: list[tuple[Session, int]]) -> None:
         engine.stepping = False
-        if engine.dead:
+        if engine.failed:
             return
         for piece in engine.core.finish_step(chunks):
-            self._take(piece)
+            self._deliver(piece)
         self._step(engine)
 
-    def _take(self, piece: Piece) -> None:
+    def _deliver(self, piece: Piece) -> None:
         session_id = piece.session.session_id
         req = self._by_id[session_id]
         if piece.held:
-            number = next(n for n, p in enumerate(req.parts) if p.job.job_id == session_id)
+            number = next(n for n, p in enumerate(req.segments) if p.job.job_id == session_id)
             self._after(2 * MESSAGE_S, lambda: self._first_token(req, number))
             self._after(2 * MESSAGE_S, lambda: self._start(req, number + 1))
             return
         if piece.offset == 0:
-            req.first_s = self._now_s + MESSAGE_S
-            self._after(2 * MESSAGE_S, lambda: self._first_token(req, len(req.parts) - 1))
+            req.first_token_at_s = self._now_s + MESSAGE_S
+            self._after(2 * MESSAGE_S, lambda: self._first_token(req, len(req.segments) - 1))
         if piece.last:
-            self._after(MESSAGE_S, lambda: self._end(req, "completed"))
+            self._after(MESSAGE_S, lambda: self._finish(req, "completed"))
 
     def _first_token(self, req: _Request, number: int) -> None:
         if req.record is None:
-            part = req.parts[number]
-            part.engine.queue.first_token(part.job.job_id, self._now_s)
-            self._pump(part.engine)
+            segment = req.segments[number]
+            segment.engine.queue.first_token(segment.job.job_id, self._now_s)
+            self._send_grants(segment.engine)
 
-    def _lose_engines(self) -> None:
+    def _fail_engines(self) -> None:
         for engine in list(self._engines.values())[: self._fleet.lost_engines]:
-            engine.dead = True
+            engine.failed = True
         for req in self._requests:
-            if req.record is None and any(part.engine.dead for part in req.parts):
-                self._end(req, "failed", "its engine died")
+            if req.record is None and any(segment.engine.failed for segment in req.segments):
+                self._finish(req, "failed", "engine failed")
 
-    # Ends.
+    # Completion and expiry.
 
-    def _end(self, req: _Request, outcome: str, reason: str = "") -> None:
+    def _finish(self, req: _Request, outcome: str, reason: str = "") -> None:
         if req.record is not None:
             return
         arrival_s = req.row.arrival_s
-        first_s = None if req.first_s is None else req.first_s - arrival_s
+        first_token_s = None if req.first_token_at_s is None else req.first_token_at_s - arrival_s
         total_s = self._now_s - arrival_s
-        req.record = ReplayRecord(req.row, outcome, first_s, total_s, reason)
-        self._open -= 1
-        for part in req.parts:
-            part.engine.core.cancel(part.job.job_id)
-            part.engine.queue.release(part.job.job_id, self._now_s)
-            self._pump(part.engine)
+        req.record = ReplayRecord(req.row, outcome, first_token_s, total_s, reason)
+        self._unfinished -= 1
+        for segment in req.segments:
+            segment.engine.core.cancel(segment.job.job_id)
+            segment.engine.queue.release(segment.job.job_id, self._now_s)
+            self._send_grants(segment.engine)
 
     def _tick(self) -> None:
         for engine in self._engines.values():
             for job in engine.queue.drop_late(self._now_s):
-                self._end(self._by_id[job.job_id], "not-run", "too late to start")
-            self._pump(engine)
+                self._finish(
+                    self._by_id[job.job_id], "not-run", "cannot start in time to meet the deadline"
+                )
+            self._send_grants(engine)
         self._after(_TICK_S, self._tick)
 
 
@@ -313,7 +319,7 @@
         spec.decode_step_s,
         spec.chunk_tokens,
     )
-    # In a replay nobody forgets a reservation, so none is dropped for want of renewal.
+    # Reservations in a replay are always released, so they need no renewal to stay valid.
     limits = QueueLimits(max_running=spec.max_sessions, renewal_s=float("inf"))
     return [
         _Engine(f"engine-{n}", TargetQueue(traits, limits), EngineCore(spec))
@@ -335,19 +341,19 @@
 
 
 def _digests(row: TraceRow, number: int) -> tuple[int, ...]:
-    """Return digests as `targets.prefix_digests` would, made from the names in the trace."""
+    """Return prefix digests as `targets.prefix_digests` does, from names in the trace."""
     lengths = (PREFIX_STEP_TOKENS * PREFIX_GROWTH**n for n in range(MAX_DIGESTS))
     within = itertools.takewhile(lambda length: length <= row.prompt_tokens, lengths)
-    return tuple(_part_id(row, number, length) for length in within)
+    return tuple(_prefix_hash(row, number, length) for length in within)
 
 
 def _blocks(row: TraceRow, number: int) -> tuple[int, ...]:
     ends = range(BLOCK_TOKENS, row.prompt_tokens + 1, BLOCK_TOKENS)
-    return tuple(_part_id(row, number, end) for end in ends)
+    return tuple(_prefix_hash(row, number, end) for end in ends)
 
 
-def _part_id(row: TraceRow, number: int, length: int) -> int:
+def _prefix_hash(row: TraceRow, number: int, length: int) -> int:
     shared = row.prefix and length <= row.prefix_tokens
     name = f"{row.prefix if shared else number}/{length}"
-    # Not the built-in hash, which differs from process to process.
+    # The built-in hash differs between processes.
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=7).digest(), "big")
--- a/gladedrum/replay/report.py
+++ b/gladedrum/replay/report.py
@@ -1,4 +1,4 @@
-"""Figures of a replay: time to first token by prompt length, slowdown, goodput, fairness."""
+"""Metrics of a replay: time to first token by prompt length, slowdown, goodput, fairness."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -13,13 +13,13 @@
 __all__ = ["LengthFigures", "PolicyFigures", "Quantiles", "figures", "slowdowns"]
 
 _US_PER_S = 1_000_000
-_LONGEST_US = 3_600 * _US_PER_S
-_DIGITS = 3
+_MAX_VALUE_US = 3_600 * _US_PER_S
+_SIGNIFICANT_DIGITS = 3
 _DOSSIER_CLASS = length_class(100_000)
 
 
 class Quantiles(TypedDict):
-    """The 50th, 95th and 99th percentile."""
+    """The 50th, 95th and 99th percentiles."""
 
     p50: float
     p95: float
@@ -27,7 +27,7 @@
 
 
 class LengthFigures(TypedDict):
-    """Figures of the requests of one prompt-length class; times in seconds."""
+    """Metrics of the requests of one prompt-length class; times in seconds."""
 
     requests: int
     completed: int
@@ -37,11 +37,12 @@
 
 
 class PolicyFigures(TypedDict):
-    """Figures of a whole replay.
+    """Metrics of a replay under one policy.
 
     ``slowdown`` is the time to first token of a short request divided by that of the same
-    request on the same trace without long ones; ``slowdown_of_p95`` divides the two 95th
-    percentiles instead.
+    request in the baseline, a replay of the same trace without long prompts.
+    ``slowdown_of_p95`` is the ratio of the two 95th percentiles instead. Dossiers are requests
+    in the longest prompt-length class.
     """
 
     policy: str
@@ -60,8 +61,8 @@
 
 
 def quantiles(values: Iterable[float]) -> Quantiles:
-    """Return percentiles, correct to three digits; zeros if there are no values."""
-    histogram = HdrHistogram(1, _LONGEST_US, _DIGITS)
+    """Return percentiles with three significant digits; zeros if there are no values."""
+    histogram = HdrHistogram(1, _MAX_VALUE_US, _SIGNIFICANT_DIGITS)
     for value in values:
         histogram.record_value(max(1, round(value * _US_PER_S)))
     if not histogram.get_total_count():
@@ -71,18 +72,18 @@
 
 
 def figures(
-    policy: str, records: Sequence[ReplayRecord], alone: Sequence[ReplayRecord]
+    policy: str, records: Sequence[ReplayRecord], baseline: Sequence[ReplayRecord]
 ) -> PolicyFigures:
-    """Return the figures of a replay.
+    """Return the metrics of a replay.
 
     Parameters
     ----------
     policy : str
-        The name that the figures go under.
+        Label of the metrics, usually the name of the policy.
     records : sequence of ReplayRecord
-        The replay of the whole trace.
+        Replay of the full trace.
     alone : sequence of ReplayRecord
-        The replay of the same trace without long prompts.
+        Replay of the same trace without long prompts.
     """
     done = [r for r in records if r.outcome == "completed"]
     admitted = [r for r in records if r.outcome != "not-run"]
@@ -90,8 +91,8 @@
     in_time = sum(r.outcome == "completed" for r in dossiers)
     duration_s = max((r.row.arrival_s for r in records), default=1.0)
     work = sum(r.row.prompt_tokens + r.row.output_tokens for r in done)
-    ratios = slowdowns(records, alone)
-    p95_with, p95_alone = _short_p95(records), _short_p95(alone)
+    ratios = slowdowns(records, baseline)
+    p95_with, p95_baseline = _short_p95(records), _short_p95(baseline)
     return PolicyFigures(
         policy=policy,
         requests=len(records),
@@ -104,18 +105,18 @@
         goodput_tokens_per_s=work / duration_s,
         fairness=_fairness(records),
         slowdown=quantiles(ratios),
-        slowdown_of_p95=p95_with / p95_alone if p95_alone else 0.0,
+        slowdown_of_p95=p95_with / p95_baseline if p95_baseline else 0.0,
         by_length=_by_length(records),
     )
 
 
-def slowdowns(records: Sequence[ReplayRecord], alone: Sequence[ReplayRecord]) -> list[float]:
-    """Return the slowdown of each short request that has a first token in both replays."""
-    without = {r.row: r.first_token_s for r in alone}
+def slowdowns(records: Sequence[ReplayRecord], baseline: Sequence[ReplayRecord]) -> list[float]:
+    """Return the slowdown of each request that has a first token in both replays."""
+    baseline_s = {r.row: r.first_token_s for r in baseline}
     return [
-        r.first_token_s / without[r.row]
+        r.first_token_s / baseline_s[r.row]
         for r in records
-        if r.first_token_s is not None and without.get(r.row) is not None
+        if r.first_token_s is not None and baseline_s.get(r.row) is not None
     ]
 
 
@@ -129,14 +130,14 @@
 
 
 def _fairness(records: Iterable[ReplayRecord]) -> float:
-    """Return Jain's index over the share of its work that each organisation got done."""
-    asked: defaultdict[str, int] = defaultdict(int)
+    """Return Jain's fairness index over the share of each organisation's tokens that completed."""
+    requested: defaultdict[str, int] = defaultdict(int)
     served: defaultdict[str, int] = defaultdict(int)
     for record in records:
         tokens = record.row.prompt_tokens + record.row.output_tokens
-        asked[record.row.organisation] += tokens
+        requested[record.row.organisation] += tokens
         served[record.row.organisation] += tokens * (record.outcome == "completed")
-    shares = [served[name] / asked[name] for name in asked]
+    shares = [served[name] / requested[name] for name in requested]
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
 
--- a/gladedrum/replay/tests/test_replay.py
+++ b/gladedrum/replay/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Traces can be repeated to the digit, and the product's policy serves the short prompts best."""
+"""Traces and local replays: determinism, file format, and the default policy against others."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 _WORKLOAD = Workload(duration_s=60, engines=4, seed=3)
 
 
-def test_a_workload_has_the_lengths_that_the_users_name():
+def test_default_workload_has_the_specified_prompt_lengths():
     rows = make_trace(Workload(duration_s=2_000, engines=18))
     over = sum(r.prompt_tokens > 100_000 for r in rows) / len(rows)
     assert 0.015 < over < 0.025
@@ -27,13 +27,13 @@
     assert 900_000 < max(r.prompt_tokens for r in rows) <= 1_000_000
 
 
-def test_a_trace_survives_its_file(tmp_path):
+def test_trace_round_trips_through_a_file(tmp_path):
     rows = make_trace(_WORKLOAD)
     write_trace(tmp_path / "t", rows)
     assert read_trace(tmp_path / "t") == rows
 
 
-def test_a_wrong_trace_is_reported_whole(tmp_path):
+def test_every_invalid_line_of_a_trace_is_reported(tmp_path):
     path = tmp_path / "t"
     path.write_text('{"arrival_s": 1}\n[]\n')
     with pytest.raises(TraceError) as caught:
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("name", policy_names())
-def test_a_replay_repeats_to_the_digit_and_every_request_ends(name):
+def test_replay_is_deterministic_and_every_request_ends(name):
     rows = make_trace(_WORKLOAD)
     first, second = (replay_locally(rows, name, _FLEET) for _ in range(2))
     assert first == second
@@ -54,7 +54,7 @@
         assert record.total_s <= record.row.deadline_s + 0.01
 
 
-def test_the_product_s_policy_has_the_best_short_prompts():
+def test_fair_slack_has_the_lowest_first_token_time_for_short_prompts():
     found = {f["policy"]: f for f in compare_locally(make_trace(_WORKLOAD), policy_names(), _FLEET)}
     own = found.pop("fair_slack")
     for other in found.values():
@@ -64,8 +64,8 @@
         assert own["completed"] >= other["completed"]
 
 
-def test_the_loss_of_half_the_engines_ends_every_request():
+def test_every_request_ends_when_half_the_engines_fail():
     fleet = LocalFleet(engines=4, lost_engines=2, lost_at_s=20.0)
     records = replay_locally(make_trace(_WORKLOAD), "fair_slack", fleet)
     assert all(r.outcome for r in records)
-    assert any(r.reason == "its engine died" for r in records)
+    assert any(r.reason == "engine failed" for r in records)
--- a/gladedrum/replay/trace.py
+++ b/gladedrum/replay/trace.py
@@ -1,8 +1,8 @@
-"""Traces: rows of requests as JSON lines, and the workload from which they are drawn.
+"""Request traces: file format (JSON lines) and random generation from a workload.
 
-The default workload follows the users' description: prompts from a thousand to a million
-tokens of which one in fifty has over a hundred thousand, a few large organisations among
-small ones, bursts, and prompts that share their leading part.
+The default workload has prompts from a thousand to a million tokens, of which one in fifty has
+over a hundred thousand, a few large organisations and many small ones, bursts of arrivals, and
+prompts with shared prefixes.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 class TraceError(GladedrumError):
-    """A trace cannot be used; `findings` says where and why."""
+    """A trace is invalid; `findings` lists the lines and the reasons."""
 
     def __init__(self, findings: list[Finding]):
         self.findings = findings
@@ -35,22 +35,22 @@
 
 
 class TraceRow(NamedTuple):
-    """A request of a trace.
+    """One request of a trace.
 
     Parameters
     ----------
     arrival_s : float
-        When it arrives, in seconds from the start of the trace.
+        Time of arrival, in seconds from the start of the trace.
     organisation, request_class : str
-        Who asks, and for what.
+        Organisation that sends the request, and its class of request.
     prompt_tokens, output_tokens : int
-        Length of the prompt and of the answer.
+        Lengths of the prompt and of the answer.
     prefix : str
-        The name of the leading part that it shares with others; empty for none.
+        Name of the leading part that the prompt shares with others; empty if it shares none.
     prefix_tokens : int
-        The length of that part.
+        Length of the shared part.
     deadline_s : float
-        The time that it has, in seconds from its arrival.
+        Deadline, in seconds from the arrival.
     """
 
     arrival_s: float
@@ -64,7 +64,7 @@
 
 
 class LengthBand(NamedTuple):
-    """A share of the requests and the range of their lengths, drawn evenly on a log scale."""
+    """A class of requests, its share and its ranges of lengths, drawn log-uniformly."""
 
     request_class: str
     share: float
@@ -81,28 +81,28 @@
 
 
 class Workload(NamedTuple):
-    """What a trace is drawn from.
+    """Parameters of a random trace.
 
     Parameters
     ----------
     seed : int
-        Of the random numbers.
+        Seed of the random numbers.
     duration_s : float
-        Length of the trace, in seconds.
+        Duration of the trace, in seconds.
     engines : int
-        The number of engines that the load is for.
+        Number of engines that `load` refers to.
     load : float
-        Engine time asked for, as a share of the engine time there is.
+        Engine time that the requests need, relative to the engine time available.
     traits : EngineTraits
-        The engines' size and speed.
+        Size and speed of an engine.
     organisations : int
-        Their number; the size of the n-th goes with 1/n.
+        Number of organisations; the n-th sends requests in proportion to 1/n.
     burst_factor, burst_share : float
-        In bursts the rate is so many times the mean, for this share of the time.
+        Arrival rate in a burst relative to the mean rate, and the share of time in bursts.
     prefix_share : float
-        The share of requests whose leading part is one of its organisation's.
+        Share of requests whose prompt starts with one of its organisation's shared prefixes.
     longest_tokens : int
-        Longer prompts are cut to this length.
+        Limit to which longer prompts are cut.
     """
 
     seed: int = 1
@@ -117,7 +117,7 @@
     longest_tokens: int = 1_000_000
 
 
-_BURST_S = 10.0
+_BURST_DURATION_S = 10.0
 _PREFIXES_PER_ORGANISATION = 4
 _DEADLINE_BASE_S = 20.0
 _DEADLINE_S_PER_TOKEN = 0.0015
@@ -147,9 +147,9 @@
 
 
 def _burst_factor(workload: Workload, now_s: float) -> float:
-    period_s = _BURST_S / workload.burst_share
+    period_s = _BURST_DURATION_S / workload.burst_share
     calm = (1 - workload.burst_share * workload.burst_factor) / (1 - workload.burst_share)
-    in_burst = now_s % period_s >= period_s - _BURST_S
+    in_burst = now_s % period_s >= period_s - _BURST_DURATION_S
     return workload.burst_factor if in_burst else calm
 
 
@@ -170,8 +170,8 @@
     number = rng.choices(numbers, [1 / n for n in numbers])[0]
     prefix, prefix_tokens = "", 0
     if rng.random() < workload.prefix_share:
-        which = rng.randrange(_PREFIXES_PER_ORGANISATION)
-        prefix = f"organisation-{number}/{band.request_class}/{which}"
+        index = rng.randrange(_PREFIXES_PER_ORGANISATION)
+        prefix = f"organisation-{number}/{band.request_class}/{index}"
         prefix_tokens = prompt_tokens // 2
     return TraceRow(
         arrival_s=round(now_s, 6),
@@ -192,12 +192,12 @@
 
 
 def read_trace(path: str | Path) -> list[TraceRow]:
-    """Read a trace of JSON lines.
+    """Read a trace from a file of JSON lines, sorted by arrival.
 
     Raises
     ------
     TraceError
-        With every finding, each with its line.
+        If the file cannot be read or has invalid lines; lists every invalid line.
     """
     rows: list[TraceRow] = []
     findings: list[Finding] = []
--- a/gladedrum/standins/__init__.py
+++ b/gladedrum/standins/__init__.py
@@ -1,6 +1,6 @@
-"""Small stand-ins for model engine, plain service, key-value service and box list.
+"""Stand-ins for the services around a box: store, targets, model engine, service, box list.
 
-Each is a program of its own (``python -m gladedrum.standins.engine --help``) and can also
-run inside ``gladedrumd``. They follow the protocols that the boxes speak and have switches
-that bring about failures; they are made for tests and demonstrations only.
+Each is a program (``python -m gladedrum.standins.engine --help``); some also run inside
+``gladedrumd``. They speak the same protocols as the real services, and ``POST /switches``
+injects failures while they run. For tests and demonstrations only.
 """
--- a/gladedrum/standins/_http.py
+++ b/gladedrum/standins/_http.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: JSON over HTTP, listening, failure switches and the main function."""
+"""Shared parts of the stand-ins: JSON over HTTP, listening and the main function."""
 
 import argparse
 import json
@@ -19,7 +19,7 @@
 
 
 class Standin(Protocol):
-    """What every stand-in offers to the program and to an embedding process."""
+    """Interface of a stand-in, for its own program and for a process that embeds it."""
 
     app: Klein
 
@@ -28,20 +28,20 @@
 
 
 def json_body(request: Request) -> dict[str, Any]:
-    """Return the JSON object in the request's body, empty if there is none."""
+    """Return the JSON object in the body of `request`; an empty one if there is no body."""
     content = request.content.read()
     return json.loads(content) if content else {}
 
 
 def json_reply(request: Request, body: object, status: int = 200) -> bytes:
-    """Set status and type of the response and return its encoded body."""
+    """Set the status and content type of the response and return its encoded body."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
     return json.dumps(body).encode()
 
 
 def sleep(delay_s: float) -> defer.Deferred[None]:
-    """Return a deferred that fires after `delay_s` seconds; cancelled, it leaves no timer."""
+    """Return a deferred that fires after `delay_s` seconds; cancelling it stops its timer."""
     done: defer.Deferred[None] = defer.Deferred(lambda _done: timer.cancel())
     timer = reactor.callLater(delay_s, done.callback, None)
     return done
@@ -63,7 +63,7 @@
     add_arguments: Callable[[argparse.ArgumentParser], None],
     make: Callable[[argparse.Namespace], Standin],
 ) -> None:
-    """Be the main function of a stand-in program: parse, listen, print the port, serve."""
+    """Run a stand-in program: parse arguments, listen, print the port as JSON, serve."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--host", default=LOOPBACK, help="address to listen on")
     parser.add_argument("--port", type=int, default=0, help="TCP port; 0 lets the system choose")
@@ -75,10 +75,10 @@
     def announce(listening: IListeningPort) -> None:
         print(json.dumps({"port": port_of(listening)}), flush=True)
 
-    def give_up(failure) -> None:
+    def fail(failure) -> None:
         print(failure.getErrorMessage(), file=sys.stderr)
         reactor.stop()
 
-    listen(standin.app, args.port, args.host).addCallbacks(announce, give_up)
+    listen(standin.app, args.port, args.host).addCallbacks(announce, fail)
     reactor.addSystemEventTrigger("before", "shutdown", standin.stop)
     reactor.run()
--- a/gladedrum/standins/boxlist.py
+++ b/gladedrum/standins/boxlist.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's lagging list of live and leaving boxes and targets.
+"""Stand-in for the platform's list of live and leaving boxes and targets, which lags.
 
-A list is changed by ``PUT /v1/boxes`` or ``PUT /v1/targets`` (whole list) and read, as it
-was ``lag_s`` ago, by ``GET`` of the same path.
+``PUT /v1/boxes`` and ``PUT /v1/targets`` replace a whole list. ``GET`` of the same path returns
+the list as it was ``lag_s`` seconds ago.
 """
 
 import argparse
@@ -20,14 +20,14 @@
 
 
 class BoxList:
-    """The lists and their lag.
+    """Serves the lists of boxes and targets with a lag.
 
     Parameters
     ----------
     lists : dict
-        The rows at the start, under ``boxes`` and ``targets``.
+        Initial rows, under ``boxes`` and ``targets``.
     lag_s : float
-        The age of what is reported, in seconds.
+        Age of the reported lists, in seconds.
     """
 
     app = Klein()
@@ -41,28 +41,28 @@
         }
 
     def stop(self) -> None:
-        """Do nothing; the list has no timers."""
+        """Do nothing, since there are no timers."""
 
     def put_rows(self, kind: str, rows: list[dict]) -> None:
-        """Replace a list from now on."""
+        """Replace a list; `get` returns the new rows once the lag has passed."""
         self._versions[kind].append((self._clock.seconds(), rows))
 
     @app.route("/v1/<kind>", methods=["GET"])
     def get(self, request: Request, kind: str) -> bytes:
-        """Report a list as it was a lag ago."""
+        """Return a list as it was `lag_s` seconds ago."""
         if self.outage:
             return json_reply(request, {"error": "unavailable"}, 503)
-        limit_s = self._clock.seconds() - self.lag_s
-        known = [rows for at_s, rows in self._versions[kind] if at_s <= limit_s]
-        digest = hashlib.sha256(json.dumps(known[-1]).encode()).hexdigest()
+        visible_until_s = self._clock.seconds() - self.lag_s
+        visible = [rows for at_s, rows in self._versions[kind] if at_s <= visible_until_s]
+        digest = hashlib.sha256(json.dumps(visible[-1]).encode()).hexdigest()
         request.setETag(f'"{digest[:16]}"'.encode())
         if request.code == HTTPStatus.NOT_MODIFIED:
             return b""
-        return json_reply(request, {kind: known[-1]})
+        return json_reply(request, {kind: visible[-1]})
 
     @app.route("/v1/<kind>", methods=["PUT"])
     def put(self, request: Request, kind: str) -> bytes:
-        """Replace a list from now on."""
+        """Replace a list with the rows in the request."""
         self.put_rows(kind, json_body(request)[kind])
         return json_reply(request, {})
 
--- a/gladedrum/standins/engine.py
+++ b/gladedrum/standins/engine.py
@@ -1,8 +1,9 @@
-"""A stand-in for a model engine: the engine model behind an OpenAI-shaped HTTP interface.
+"""Stand-in for a model engine: `engine_core` behind an OpenAI-compatible HTTP interface.
 
-Beyond ``POST /v1/completions`` it lists, resumes and cancels sessions, exports and imports
-KV cache, reports its load with a lag and its cache events late and with gaps, and takes
-fenced orders. ``POST /switches`` changes the failure switches while it runs.
+Besides ``POST /v1/completions`` it lists, resumes and cancels sessions, exports and imports
+KV cache blocks, and loads and unloads models by order. Its load reports lag, and its cache
+events can be late or missing. Orders carry a fence (a fencing token). ``POST /switches``
+injects failures while it runs.
 """
 
 import argparse
@@ -23,33 +24,33 @@
 BYTES_PER_TOKEN = 4
 _BLOCK_BYTES = BLOCK_TOKENS * BYTES_PER_TOKEN
 _DONE = b"data: [DONE]\n\n"
-_RETAIN_S = 30.0
+_ANSWER_RETENTION_S = 30.0
 
 
 @dataclass
 class Switches:
-    """Failures that the stand-in can be told to show.
+    """Failures that can be injected.
 
     Parameters
     ----------
     refuse : bool
-        Answer every new request with 503 and vouch that it did not start.
+        Answer every new request with 503 and state that it did not start.
     break_after_tokens : int
-        Cut the connection of a stream after so many tokens; 0 never does.
+        Abort a stream after this number of tokens; 0 disables it.
     crossed : bool
-        Put another request's id on every piece.
+        Send every token under another request's id.
     silent : bool
-        Take requests and never answer.
+        Accept requests and never answer.
     load_factor : float
-        What reported loads are multiplied with; other than 1 is a lie.
+        Factor on reported loads; 1 reports the true load.
     load_lag_s : float
-        The age of the load that is reported.
+        Age of the reported load, in seconds.
     cache_lag : int
-        How many of the newest cache events are held back.
+        Number of the newest cache events that are not yet reported.
     cache_gap : int
-        Of how many cache events one is lost; 0 loses none.
+        Omit one of every `cache_gap` cache events; 0 omits none.
     check_fence : bool
-        Refuse orders with a fence lower than the highest seen.
+        Refuse an order whose fence is lower than the highest one seen.
     """
 
     refuse: bool = False
@@ -63,55 +64,55 @@
     check_fence: bool = True
 
     def update(self, changes: dict[str, object]) -> None:
-        """Set the named switches; others stay."""
+        """Set the switches named in `changes`; ignore unknown names."""
         known = {f.name for f in fields(self)}
         for name in known & changes.keys():
             setattr(self, name, changes[name])
 
 
 def answer_token(seed: str, offset: int) -> str:
-    """Return the answer's token at `offset`; it depends on the prompt alone.
+    """Return the answer's token at `offset`, derived from the prompt's hash `seed`.
 
-    The same prompt thus has the same answer on every engine, so that a resumed answer can be
-    checked against one that was never broken.
+    A prompt has the same answer on every engine, so a test can compare a resumed answer with an
+    uninterrupted one.
     """
     return f" {seed[:6]}.{offset}"
 
 
 @dataclass
 class _Answer:
-    """The answer of a session, kept for a while after its end so that it can be resumed."""
+    """The answer of a session, kept for some time after its end so that it can be resumed."""
 
     session: Session
     text: str
     seed: str
-    whole: bool
+    buffered: bool
     listener: Request | None = None
     produced: int = 0
     sent: int = 0
     last: bool = False
 
     def listen(self, request: Request) -> None:
-        """Send all further pieces to `request`."""
+        """Send all further tokens to `request`."""
         self.listener = request
-        request.notifyFinish().addBoth(self._lost, request)
+        request.notifyFinish().addBoth(self._on_disconnect, request)
 
-    def _lost(self, _result: object, request: Request) -> None:
+    def _on_disconnect(self, _result: object, request: Request) -> None:
         if self.listener is request:
             self.listener = None
 
 
 class Engine:
-    """The HTTP side of an engine.
+    """Serves an `EngineCore` over HTTP.
 
     Parameters
     ----------
     spec : EngineSpec
         Size and speed.
     models : tuple of str
-        The models that are loaded at the start.
+        Models loaded initially.
     clock : IReactorTime, optional
-        Where time comes from; the reactor if left out.
+        Source of time; the reactor by default.
     """
 
     app = Klein()
@@ -144,10 +145,11 @@
 
     @app.route("/v1/completions", methods=["POST"])
     async def completions(self, request: Request):
-        """Run a prompt; streams server-sent events, or answers whole if ``stream`` is false.
+        """Run a prompt; stream server-sent events, or one JSON body if ``stream`` is false.
 
-        With ``context`` the prompt goes on after segments that other engines hold. With
-        ``session.hold`` it is only prefilled and then held, while the stream stays open.
+        With ``context``, the prompt continues segments that other engines hold. With
+        ``session.hold``, the engine only prefills the prompt and keeps it in memory while the
+        stream stays open.
         """
         body = json_body(request)
         if self.switches.refuse:
@@ -159,7 +161,7 @@
         except (NotSentError, LostAnswerError, KeyError) as exc:
             return json_reply(request, {"error": f"context: {exc!r}", "started": False}, 409)
         prompt = context + body["prompt"]
-        session = _session_of(body, body["prompt"])
+        session = _make_session(body, body["prompt"])
         if session.session_id in self.core.sessions:
             return json_reply(request, {"error": "session exists", "started": False}, 409)
         try:
@@ -168,18 +170,18 @@
             return json_reply(request, {"error": str(exc), "started": False}, 413)
         self.runs.append(session.session_id)
         seed = hashlib.sha256(prompt.encode()).hexdigest()
-        whole = not body.get("stream", False)
-        answer = _Answer(session, prompt, seed, whole, produced=session.offset)
+        buffered = not body.get("stream", False)
+        answer = _Answer(session, prompt, seed, buffered, produced=session.offset)
         self._answers[session.session_id] = answer
         answer.listen(request)
-        if not whole:
+        if not buffered:
             _start_stream(request)
-        self._wake()
+        self._schedule_step()
         return await defer.Deferred()
 
     @app.route("/sessions/<session_id>/context", methods=["GET"])
     def read_context(self, request: Request, session_id: str) -> bytes:
-        """Give a held segment, with all before it, to the engine of the next one."""
+        """Return the text of a held segment and all segments before it."""
         answer = self._answers.get(session_id)
         if answer is None or not answer.session.is_held:
             return json_reply(request, {"error": "no such held session"}, 404)
@@ -187,12 +189,12 @@
 
     @app.route("/sessions/<session_id>/stream", methods=["GET"])
     def resume(self, request: Request, session_id: str):
-        """Stream a session's answer from ``offset`` on, what is already there at once."""
+        """Stream a session's answer from ``offset`` on; tokens already produced come at once."""
         answer = self._answers.get(session_id)
         if answer is None:
             return json_reply(request, {"error": "no such session", "started": False}, 404)
         offset = int(request.args.get(b"offset", [b"0"])[0])
-        answer.whole = False
+        answer.buffered = False
         answer.listen(request)
         _start_stream(request)
         for at in range(offset, answer.produced):
@@ -202,7 +204,7 @@
 
     @app.route("/sessions", methods=["GET"])
     def list_sessions(self, request: Request) -> bytes:
-        """List the sessions with their labels."""
+        """List the sessions with their ids, owners and progress."""
         rows = [
             {
                 "id": s.session_id,
@@ -217,7 +219,7 @@
 
     @app.route("/sessions/<session_id>", methods=["DELETE"])
     def cancel_session(self, request: Request, session_id: str) -> bytes:
-        """Cancel a session; the answer says whether there was one."""
+        """Cancel a session; the answer states whether it existed."""
         found = self.core.cancel(session_id)
         answer = self._answers.pop(session_id, None)
         if answer is not None and answer.listener is not None:
@@ -226,21 +228,21 @@
 
     @app.route("/runs", methods=["GET"])
     def list_runs(self, request: Request) -> bytes:
-        """List the ids of all sessions that were ever started, for tests."""
+        """List the ids of all sessions started so far, for tests."""
         return json_reply(request, {"runs": self.runs})
 
     # Load, cache events, KV cache, orders.
 
     @app.route("/load", methods=["GET"])
     def load(self, request: Request) -> bytes:
-        """Report the load as it was a lag ago."""
-        limit_s = self._clock.seconds() - self.switches.load_lag_s
-        known = [load for at_s, load in self._loads if at_s <= limit_s]
+        """Return the load as it was `load_lag_s` seconds ago."""
+        visible_until_s = self._clock.seconds() - self.switches.load_lag_s
+        known = [load for at_s, load in self._loads if at_s <= visible_until_s]
         return json_reply(request, known[-1] if known else self._load())
 
     @app.route("/cache/events", methods=["GET"])
     def cache_events(self, request: Request) -> bytes:
-        """Report cache events from a sequence number on, late and with gaps."""
+        """Return cache events from sequence number ``since`` on, subject to the switches."""
         since = int(request.args.get(b"since", [b"0"])[0])
         end = len(self.core.cache_log) - self.switches.cache_lag
         gap = self.switches.cache_gap
@@ -253,7 +255,7 @@
 
     @app.route("/kv/export", methods=["POST"])
     def export_kv(self, request: Request) -> bytes:
-        """Export the cached blocks of a prompt under an id and labels."""
+        """Export the cached blocks of a prompt under an id and an owner."""
         body = json_body(request)
         blocks = [b for b in body["blocks"] if b in self.core.cache]
         self.exports[body["id"]] = {"blocks": blocks, "owner": body.get("owner", "")}
@@ -261,7 +263,7 @@
 
     @app.route("/kv/import", methods=["POST"])
     def import_kv(self, request: Request) -> bytes:
-        """Take blocks of another engine's export into the cache."""
+        """Add blocks of another engine's export to the cache."""
         for block in json_body(request)["blocks"]:
             self.core.cache[block] = None
         return json_reply(request, {"cached_blocks": len(self.core.cache)})
@@ -273,7 +275,7 @@
 
     @app.route("/orders", methods=["POST"])
     def order(self, request: Request) -> bytes:
-        """Take a fenced order to load or unload a model."""
+        """Load or unload a model, unless the order's fence is stale."""
         body = json_body(request)
         if self.switches.check_fence and body["fence"] < self.fence:
             return json_reply(request, {"error": "stale fence", "fence": self.fence}, 409)
@@ -289,19 +291,20 @@
         self.switches.update(json_body(request))
         return json_reply(request, vars(self.switches))
 
-    async def _read_context(self, places: list[dict]) -> str:
-        """Return the text of all earlier segments; the last of them knows all of it.
+    async def _read_context(self, segments: list[dict]) -> str:
+        """Return the text of all earlier segments.
 
-        An engine would read the segments' KV cache; the stand-in's cache is the text.
+        A real engine reads the segments' KV cache. Here the text takes its place, and each
+        segment returns its own text with that of the segments before it.
         """
         text = ""
-        for place in places:
-            url = f"{place['url']}/sessions/{place['session_id']}/context"
+        for segment in segments:
+            url = f"{segment['url']}/sessions/{segment['session_id']}/context"
             reply = await self._web.call_json("GET", url)
             text = reply.body["text"]
         return text
 
-    # The engine's own time.
+    # Load samples and engine steps.
 
     def _load(self) -> dict:
         factor = self.switches.load_factor
@@ -320,18 +323,18 @@
         while self._loads[0][0] < oldest_s:
             self._loads.pop(0)
 
-    def _wake(self) -> None:
+    def _schedule_step(self) -> None:
         if self._step_call is not None and self._step_call.active():
             return
         step = self.core.begin_step()
         if step is not None:
             duration_s, chunks = step
-            self._step_call = self._clock.callLater(duration_s, self._finish, chunks)
+            self._step_call = self._clock.callLater(duration_s, self._finish_step, chunks)
 
-    def _finish(self, chunks: list[tuple[Session, int]]) -> None:
+    def _finish_step(self, chunks: list[tuple[Session, int]]) -> None:
         for piece in self.core.finish_step(chunks):
             self._deliver(piece)
-        self._wake()
+        self._schedule_step()
 
     def _deliver(self, piece: Piece) -> None:
         answer = self._answers.get(piece.session.session_id)
@@ -345,12 +348,14 @@
         answer.produced = piece.offset + 1
         answer.last = piece.last
         if piece.last:
-            self._clock.callLater(_RETAIN_S, self._answers.pop, piece.session.session_id, None)
+            self._clock.callLater(
+                _ANSWER_RETENTION_S, self._answers.pop, piece.session.session_id, None
+            )
         if self.switches.silent or answer.listener is None:
             return
-        if answer.whole:
+        if answer.buffered:
             if piece.last:
-                _finish_whole(answer)
+                _send_buffered(answer)
             return
         self._write(answer, piece)
 
@@ -358,7 +363,7 @@
         if answer.listener is None:
             return
         answer.sent += 1
-        answer.listener.write(_event(answer, piece, self.switches.crossed))
+        answer.listener.write(_encode_event(answer, piece, self.switches.crossed))
         if self.switches.break_after_tokens and answer.sent >= self.switches.break_after_tokens:
             answer.listener.transport.abortConnection()
             answer.listener = None
@@ -372,7 +377,7 @@
     request.write(b": started\n\n")
 
 
-def _finish_whole(answer: _Answer) -> None:
+def _send_buffered(answer: _Answer) -> None:
     tokens = range(answer.session.offset, answer.produced)
     text = "".join(answer_token(answer.seed, n) for n in tokens)
     body = {"id": answer.session.session_id, "choices": [{"text": text, "index": 0}]}
@@ -380,7 +385,7 @@
     answer.listener.finish()
 
 
-def _session_of(body: dict, prompt: str) -> Session:
+def _make_session(body: dict, prompt: str) -> Session:
     raw = prompt.encode()
     ends = range(_BLOCK_BYTES, len(raw) + 1, _BLOCK_BYTES)
     digest = hashlib.sha256()
@@ -402,7 +407,7 @@
     )
 
 
-def _event(answer: _Answer, piece: Piece, crossed: bool) -> bytes:
+def _encode_event(answer: _Answer, piece: Piece, crossed: bool) -> bytes:
     choice = {
         "text": answer_token(answer.seed, piece.offset),
         "index": 0,
--- a/gladedrum/standins/engine_core.py
+++ b/gladedrum/standins/engine_core.py
@@ -1,9 +1,9 @@
-"""A model of a continuously batching inference engine, without I/O and without a clock.
+"""Simulation of an inference engine with continuous batching, without I/O and without a clock.
 
-One step of the engine prefills a bounded chunk of prompts, in order of priority, and decodes
-one token of every session whose prompt is done. The driver asks for a step, lets its duration
-pass and then takes what it produced. The HTTP stand-in drives it in real time and the policy
-comparison under a simulated clock, so both run the same code.
+A step prefills a bounded number of prompt tokens, in order of priority, and decodes one token of
+every session whose prefill is complete. The caller plans a step (`EngineCore.begin_step`), waits
+for its duration and collects the tokens (`EngineCore.finish_step`). The HTTP stand-in (`engine`)
+does this in real time, and `replay.local` under a simulated clock.
 """
 
 import itertools
@@ -15,11 +15,11 @@
 __all__ = ["BLOCK_TOKENS", "EngineCore", "EngineSpec", "MemoryFullError", "Piece", "Session"]
 
 BLOCK_TOKENS = 512
-"""The length of a block of the prefix cache, in tokens."""
+"""Length of a block of the prefix cache, in tokens."""
 
 
 class MemoryFullError(Exception):
-    """A session needs more memory than the whole engine has."""
+    """A session needs more memory than the engine has in total."""
 
 
 class EngineSpec(NamedTuple):
@@ -32,13 +32,13 @@
     prefill_tokens_per_s : float
         Prefill speed at the start of a prompt.
     attention_tokens : int
-        The position in a prompt at which prefilling a token takes twice as long.
+        Position in a prompt at which the prefill of a token takes twice as long as at the start.
     decode_step_s : float
-        Duration of a step without prefill, in seconds.
+        Duration of a step that does no prefill, in seconds.
     chunk_tokens : int
-        The most tokens that one step prefills.
+        Maximum number of tokens that one step prefills.
     max_sessions : int
-        The most sessions in a batch.
+        Maximum number of sessions in a batch.
     """
 
     memory_tokens: int = 400_000
@@ -49,7 +49,7 @@
     max_sessions: int = 64
 
     def prefill_s(self, start: int, tokens: int) -> float:
-        """Return the seconds to prefill `tokens` tokens from position `start` on."""
+        """Return the time to prefill `tokens` tokens from position `start` on, in seconds."""
         middle = start + tokens / 2
         return tokens / self.prefill_tokens_per_s * (1 + middle / self.attention_tokens)
 
@@ -61,21 +61,21 @@
     Parameters
     ----------
     session_id : str
-        The caller's name for it.
+        Id that the caller chose.
     prompt_tokens, output_tokens : int
-        Length of the prompt and of the whole answer.
+        Lengths of the prompt and of the complete answer.
     priority : int
-        Lower goes first.
+        Sessions with a lower value go first.
     blocks : tuple of int
-        Hashes of the prompt's leading blocks, each covering all before it.
+        Hashes of the prompt's leading blocks; each hash covers all blocks up to its own.
     offset : int
-        The first answer token that is wanted; earlier ones count as prompt.
+        First answer token to produce; earlier ones are prefilled with the prompt.
     owner : str
-        The box that opened it, a label that the engine only keeps.
+        Box that opened the session; a label that the engine does not interpret.
     start : int
-        The position of the prompt in a longer one whose earlier parts other engines hold.
+        Position of the prompt in a longer one whose earlier segments other engines hold.
     hold : bool
-        True if it is only prefilled and then kept for other engines to read.
+        True to prefill the prompt only and keep it for other engines to read.
     """
 
     session_id: str
@@ -94,22 +94,22 @@
 
     @property
     def memory_tokens(self) -> int:
-        """The memory that the session takes while it runs, in tokens."""
+        """The memory that the session uses while it runs, in tokens."""
         return self.prompt_tokens + self.output_tokens
 
     @property
     def is_held(self) -> bool:
-        """True once it waits only for other engines to read it."""
+        """True if the prefill is complete and other engines can read it."""
         return self.hold and self.running and self.prefilled >= self.prefill_tokens
 
     @property
     def prefill_tokens(self) -> int:
-        """The tokens that go through prefill: the prompt and the answer before `offset`."""
+        """The number of tokens to prefill: the prompt and the answer before `offset`."""
         return self.prompt_tokens + self.offset
 
 
 class Piece(NamedTuple):
-    """One answer token that a step produced, or the end of the prefill of a held session."""
+    """One answer token, or, if `held`, the end of the prefill of a session with `hold`."""
 
     session: Session
     offset: int
@@ -119,7 +119,7 @@
 
 @dataclass
 class EngineCore:
-    """The state of an engine: its sessions, batch and prefix cache.
+    """State of an engine: its sessions, batch and prefix cache.
 
     Parameters
     ----------
@@ -131,7 +131,7 @@
     sessions: dict[str, Session] = field(default_factory=dict)
     cache: OrderedDict[int, None] = field(default_factory=OrderedDict)
     cache_log: list[tuple[str, int]] = field(default_factory=list)
-    _orders: Iterable[int] = field(default_factory=itertools.count)
+    _order_numbers: Iterable[int] = field(default_factory=itertools.count)
 
     @property
     def reserved_tokens(self) -> int:
@@ -140,32 +140,32 @@
 
     @property
     def free_tokens(self) -> int:
-        """The memory that no running session holds; the prefix cache gives way when needed."""
+        """The memory that no running session uses, in tokens; the prefix cache may occupy it."""
         return self.spec.memory_tokens - self.reserved_tokens
 
     @property
     def queued_prefill_tokens(self) -> int:
-        """The tokens that all sessions have still to prefill."""
+        """The number of tokens that all sessions still have to prefill."""
         return sum(s.prefill_tokens - s.prefilled for s in self.sessions.values())
 
     def submit(self, session: Session) -> None:
-        """Take a session in.
+        """Queue a session.
 
         Raises
         ------
         MemoryFullError
-            If it could not run even on an empty engine.
+            If the session does not fit even on an idle engine.
         """
         if session.memory_tokens > self.spec.memory_tokens:
             raise MemoryFullError(
                 f"{session.memory_tokens} tokens do not fit into {self.spec.memory_tokens}"
             )
-        session.order = next(self._orders)
+        session.order = next(self._order_numbers)
         session.emitted = session.offset
         self.sessions[session.session_id] = session
 
     def cancel(self, session_id: str) -> bool:
-        """Drop a session and free its memory; False if there is none of that name."""
+        """Remove a session and free its memory; return False if there is no such session."""
         return self.sessions.pop(session_id, None) is not None
 
     def begin_step(self) -> tuple[float, list[tuple[Session, int]]] | None:
@@ -174,24 +174,24 @@
         Returns
         -------
         tuple of float and list, or None
-            The step's duration in seconds and its prefill chunks, to be handed to
+            The step's duration in seconds and its prefill chunks, the argument of
             `finish_step`; None if there is nothing to do.
         """
-        ranked = sorted(
+        by_priority = sorted(
             (s for s in self.sessions.values() if not s.is_held),
             key=lambda s: (s.priority, s.order),
         )
-        self._admit(ranked)
-        if not any(s.running for s in ranked):
+        self._admit(by_priority)
+        if not any(s.running for s in by_priority):
             return None
         chunks: list[tuple[Session, int]] = []
         budget = self.spec.chunk_tokens
         duration_s = self.spec.decode_step_s
-        for session in ranked:
-            wanted = session.prefill_tokens - session.prefilled
-            if not session.running or wanted <= 0:
+        for session in by_priority:
+            remaining = session.prefill_tokens - session.prefilled
+            if not session.running or remaining <= 0:
                 continue
-            chunk = min(budget, wanted)
+            chunk = min(budget, remaining)
             duration_s += self.spec.prefill_s(session.start + session.prefilled, chunk)
             chunks.append((session, chunk))
             budget -= chunk
@@ -211,7 +211,7 @@
                 continue
             session.prefilled += chunk
             if session.prefilled >= session.prefill_tokens:
-                self._remember(session)
+                self._cache_blocks(session)
                 # The step that ends the prefill also yields the first token.
                 decoding.append(session)
         return [self._emit(session) for session in decoding]
@@ -226,34 +226,34 @@
             del self.sessions[session.session_id]
         return Piece(session, offset, last)
 
-    def _admit(self, ranked: list[Session]) -> None:
+    def _admit(self, by_priority: list[Session]) -> None:
         free = self.free_tokens
         running = sum(s.running for s in self.sessions.values())
-        for session in (s for s in ranked if not s.running):
+        for session in (s for s in by_priority if not s.running):
             if session.memory_tokens > free or running >= self.spec.max_sessions:
                 return
             session.running = True
             session.prefilled = self._cached_tokens(session)
             free -= session.memory_tokens
             running += 1
-            self._shrink_cache(free)
+            self._evict_blocks(free)
 
     def _cached_tokens(self, session: Session) -> int:
         hits = list(itertools.takewhile(self.cache.__contains__, session.blocks))
         for block in hits:
             self.cache.move_to_end(block)
-        # The last token is always prefilled, since its result is the first answer token.
+        # The last token is always prefilled, since its output is the first answer token.
         return min(len(hits) * BLOCK_TOKENS, session.prefill_tokens - 1)
 
-    def _remember(self, session: Session) -> None:
+    def _cache_blocks(self, session: Session) -> None:
         for block in session.blocks:
             if block not in self.cache:
                 self.cache_log.append(("stored", block))
             self.cache[block] = None
             self.cache.move_to_end(block)
-        self._shrink_cache(self.free_tokens)
+        self._evict_blocks(self.free_tokens)
 
-    def _shrink_cache(self, free_tokens: int) -> None:
+    def _evict_blocks(self, free_tokens: int) -> None:
         while len(self.cache) * BLOCK_TOKENS > max(0, free_tokens):
             block, _ = self.cache.popitem(last=False)
             self.cache_log.append(("removed", block))
--- a/gladedrum/standins/operator.py
+++ b/gladedrum/standins/operator.py
@@ -1,4 +1,4 @@
-"""What the operator writes to the platform's store, for stand-ins and tests."""
+"""The configuration in the form in which the operator writes it to the platform's store."""
 
 import json
 
@@ -9,14 +9,14 @@
 __all__ = ["CONFIGURATION_KEY", "configuration_bytes"]
 
 CONFIGURATION_KEY = wire.CONFIGURATION_KEY
-"""The key of the configuration in force."""
+"""Store key of the current configuration."""
 
 _MS = 1000
-"""Milliseconds in a second; the operator writes times in them."""
+"""Milliseconds per second, for the configuration's time fields."""
 
 
 def configuration_bytes(table: RouteTable) -> bytes:
-    """Return a configuration as the operator writes it."""
+    """Return `table` encoded as the operator's JSON configuration."""
     keys: dict[str, list[str]] = {}
     for key, organisation in table.organisations.items():
         keys.setdefault(organisation.name, []).append(key)
--- a/gladedrum/standins/service.py
+++ b/gladedrum/standins/service.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service, some of whose calls may not be repeated."""
+"""Stand-in for a plain service, whose calls may have side effects and not be repeatable."""
 
 import argparse
 
@@ -11,12 +11,12 @@
 
 
 class Service:
-    """Echoes what it is sent and keeps a record of every call.
+    """Echoes every request and records it.
 
     Parameters
     ----------
     delay_s : float
-        How long a call takes, in seconds.
+        Duration of a call, in seconds.
     """
 
     app = Klein()
@@ -27,11 +27,11 @@
         self.calls: list[dict] = []
 
     def stop(self) -> None:
-        """Do nothing; a service has no timers of its own."""
+        """Do nothing, since there are no timers."""
 
     @app.route("/record", methods=["GET"])
     def record(self, request: Request) -> bytes:
-        """List the calls that ran, for tests."""
+        """List the recorded calls, for tests."""
         return json_reply(request, {"calls": self.calls})
 
     @app.route("/switches", methods=["POST"])
@@ -44,7 +44,7 @@
 
     @app.route("/", branch=True, methods=["GET", "POST", "PUT", "DELETE"])
     async def call(self, request: Request) -> bytes:
-        """Run a call: note it, wait, echo it."""
+        """Record a call, wait for the delay and echo the call."""
         body = request.content.read().decode("utf-8", "replace")
         row = {"method": request.method.decode(), "path": request.path.decode(), "body": body}
         self.calls.append(row)
--- a/gladedrum/standins/slots.py
+++ b/gladedrum/standins/slots.py
@@ -1,4 +1,4 @@
-"""Slots of a stand-in target: so many requests run at once, others wait in order."""
+"""Slots of a stand-in target: a limit on concurrent requests with a FIFO queue."""
 
 from twisted.internet import defer
 
@@ -6,12 +6,12 @@
 
 
 class Slots:
-    """The slots and the queue for them.
+    """A semaphore with a FIFO queue whose waiters can be cancelled.
 
     Parameters
     ----------
     count : int
-        How many requests run at once.
+        Maximum number of concurrent requests.
     """
 
     def __init__(self, count: int):
@@ -21,21 +21,21 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """The number of requests that wait for a slot."""
         return len(self._waiting)
 
-    async def take(self) -> None:
-        """Wait for a slot and take it."""
+    async def acquire(self) -> None:
+        """Wait for a free slot and occupy it."""
         if self.running < self._count:
             self.running += 1
             return
-        # One whose request is closed while it waits takes no slot.
+        # Cancelling removes the waiter from the queue, so that no slot goes to a closed request.
         free: defer.Deferred[None] = defer.Deferred(self._waiting.remove)
         self._waiting.append(free)
         await free
 
-    def give(self) -> None:
-        """Give a slot back: to the request that has waited longest, if one waits."""
+    def release(self) -> None:
+        """Free a slot, or pass it to the request that has waited longest."""
         if self._waiting:
             self._waiting.pop(0).callback(None)
         else:
--- a/gladedrum/standins/store.py
+++ b/gladedrum/standins/store.py
@@ -1,7 +1,8 @@
-"""A stand-in for the platform's store, speaking its protocol.
+"""Stand-in for the platform's key-value store, with its HTTP protocol.
 
-``POST /switches`` brings about outages, slowness, rate limits, silence, answers that are lost after
-the write took effect, a history that is forgotten, and a store that comes back from a copy.
+Keys have revisions, may belong to a lease and can be watched by prefix. ``POST /switches`` injects
+failures: outages, delays, rate limits, hanging calls, writes whose answer is lost, compacted
+history, and a restore from an earlier snapshot.
 """
 
 import base64
@@ -19,35 +20,36 @@
 
 MAX_VALUE_BYTES = 1_000_000
 PAGE_ITEMS = 500
-LONGEST_WATCH_MS = 30_000
+MAX_WATCH_MS = 30_000
 
 OPERATOR_PREFIX = "op/"
-REWRITTEN_AFTER_S = 0.4
-"""How soon the operator writes again what such a store has lost, in seconds."""
+OPERATOR_REWRITE_DELAY_S = 0.4
+"""Delay after a restore until the operator repeats its lost writes, in seconds."""
 
 
 @dataclass
 class StoreSwitches:
-    """Failures and limits of the service.
+    """Failures and rate limits of the store.
 
     Parameters
     ----------
     outage : bool
-        Refuse every call and cut every watch.
+        Refuse every call and abort every watch.
     silent : bool
-        Take calls but neither do nor answer them.
+        Accept calls without executing or answering them.
     delay_s : float
-        How long an answer takes, in seconds.
+        Delay of every answer, in seconds.
     lose_answers : int
-        How many of the next writes take effect without an answer.
+        Number of next writes that take effect without an answer.
     forget_before : int
-        Revisions up to this one are known to no watch any more.
+        First revision whose history is kept; a watch from an earlier one gets status 410.
     reads_per_s, writes_per_s : float
-        Rates above which calls are refused with 429.
+        Rates above which calls get status 429.
     keeps_copy, goes_back : bool
-        Set to true, a copy is taken, and the store comes back from the last one: what was written
-        since is gone, leases too, and revisions and leases are given out again. What the operator
-        has written is written again a moment later; targets write by themselves.
+        Setting `keeps_copy` saves a snapshot; setting `goes_back` restores the last one. A
+        restore discards all later writes and leases and reissues their revisions and lease ids.
+        The operator's lost writes are repeated after `OPERATOR_REWRITE_DELAY_S`; targets
+        rewrite their entries themselves.
     """
 
     outage: bool = False
@@ -65,12 +67,12 @@
 class _Entry:
     value: bytes
     revision: int
-    made: int
+    created_revision: int
     lease: int = 0
 
 
-class _Copy(NamedTuple):
-    """What the store held at one moment."""
+class _Snapshot(NamedTuple):
+    """The state of the store at one moment."""
 
     revision: int
     entries: dict[str, _Entry]
@@ -80,8 +82,8 @@
 
 
 @dataclass
-class _Rate:
-    """A token bucket that holds one second of calls."""
+class _TokenBucket:
+    """A token bucket with a capacity of one second of calls."""
 
     tokens: float = 0.0
     at_s: float = float("-inf")
@@ -96,24 +98,24 @@
 
 
 @dataclass
-class _Calls:
-    """What the service counted, for measurements."""
+class _CallCounters:
+    """Numbers of calls, for ``GET /calls``, and the token buckets of the rate limits."""
 
     reads: int = 0
     writes: int = 0
     refused: int = 0
-    read_rate: _Rate = field(default_factory=_Rate)
-    write_rate: _Rate = field(default_factory=_Rate)
+    read_bucket: _TokenBucket = field(default_factory=_TokenBucket)
+    write_bucket: _TokenBucket = field(default_factory=_TokenBucket)
 
 
 class StoreService:
-    """The keys, leases and watches of the service."""
+    """Serves the keys, leases and watches of the store."""
 
     app = Klein()
 
     def __init__(self, clock=reactor):
         self.switches = StoreSwitches()
-        self.calls = _Calls()
+        self.calls = _CallCounters()
         self._clock = clock
         self._revision = 1
         self._entries: dict[str, _Entry] = {}
@@ -121,28 +123,28 @@
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 1
         self.era = 1
-        self._copy = self._take_copy()
+        self._snapshot = self._make_snapshot()
         self._watches: dict[Request, tuple[str, defer.Deferred[None]]] = {}
-        self._reaper = task.LoopingCall(self._expire)
-        self._reaper.clock = clock
-        self._reaper.start(0.1)
+        self._lease_expirer = task.LoopingCall(self._expire_leases)
+        self._lease_expirer.clock = clock
+        self._lease_expirer.start(0.1)
 
     def stop(self) -> None:
-        """Cancel the timer that ends leases."""
-        if self._reaper.running:
-            self._reaper.stop()
+        """Cancel the timer that expires leases."""
+        if self._lease_expirer.running:
+            self._lease_expirer.stop()
 
     def write(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write a key as the operator or a target does; return the new revision."""
+        """Write a key without rate limits or failures; return the new revision."""
         self._revision += 1
         old = self._entries.get(key)
-        made = old.made if old else self._revision
-        self._entries[key] = _Entry(value, self._revision, made, lease)
+        created_revision = old.created_revision if old else self._revision
+        self._entries[key] = _Entry(value, self._revision, created_revision, lease)
         self._record(key, self._entries[key])
         return self._revision
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key; do nothing if it does not exist."""
         if self._entries.pop(key, None) is not None:
             self._revision += 1
             self._record(key, None)
@@ -150,7 +152,7 @@
     @app.route(wire.STORE_KEY, methods=["GET"])
     async def read_key(self, request: Request) -> bytes:
         """Read one key."""
-        refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
+        refusal = await self._admit(request, self.calls.read_bucket, self.switches.reads_per_s)
         if refusal is not None:
             return refusal
         self.calls.reads += 1
@@ -162,8 +164,8 @@
 
     @app.route(wire.STORE_RANGE, methods=["GET"])
     async def read_range(self, request: Request) -> bytes:
-        """Read a page of the keys under a prefix."""
-        refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
+        """Read one page of the keys under a prefix."""
+        refusal = await self._admit(request, self.calls.read_bucket, self.switches.reads_per_s)
         if refusal is not None:
             return refusal
         self.calls.reads += 1
@@ -175,13 +177,13 @@
 
     @app.route(wire.STORE_WATCH, methods=["GET"])
     async def watch(self, request: Request) -> bytes:
-        """Wait for changes under a prefix."""
-        refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
+        """Return the changes under a prefix after a revision; wait for the first one."""
+        refusal = await self._admit(request, self.calls.read_bucket, self.switches.reads_per_s)
         if refusal is not None:
             return refusal
         self.calls.reads += 1
         prefix, after = _query(request, "pathPrefix"), int(_query(request, "afterRevision"))
-        wait_ms = min(LONGEST_WATCH_MS, int(_query(request, "waitMs")))
+        wait_ms = min(MAX_WATCH_MS, int(_query(request, "waitMs")))
         if after < self.switches.forget_before or after > self._revision:
             return self._reply(request, {"error": "history is gone"}, 410)
         events = self._events(prefix, after)
@@ -192,14 +194,14 @@
 
     @app.route(wire.STORE_TRANSACTION, methods=["POST"])
     async def transact(self, request: Request) -> bytes:
-        """Do all or nothing, if the conditions hold."""
+        """Apply all writes of a transaction if all its conditions hold, or none."""
         body = json_body(request)
-        refusal = await self._enter(request, self.calls.write_rate, self.switches.writes_per_s)
+        refusal = await self._admit(request, self.calls.write_bucket, self.switches.writes_per_s)
         if refusal is not None:
             return refusal
         self.calls.writes += 1
         conditions = body.get("expectedRevision", [])
-        if not all(self._holds(row) for row in conditions):
+        if not all(self._is_met(row) for row in conditions):
             known = [row["key"] for row in conditions if row["key"] in self._entries]
             rows = [_row(key, self._entries[key]) for key in known]
             return self._reply(request, {"items": rows}, 412)
@@ -222,7 +224,7 @@
     async def grant(self, request: Request) -> bytes:
         """Grant a lease."""
         ttl_ms = json_body(request)["ttl_ms"]
-        refusal = await self._enter(request, self.calls.write_rate, self.switches.writes_per_s)
+        refusal = await self._admit(request, self.calls.write_bucket, self.switches.writes_per_s)
         if refusal is not None:
             return refusal
         lease, self._next_lease = self._next_lease, self._next_lease + 1
@@ -232,7 +234,7 @@
     @app.route(f"{wire.STORE_KEEP}<int:lease>", methods=["POST"])
     async def keep(self, request: Request, lease: int) -> bytes:
         """Renew a lease."""
-        refusal = await self._enter(request, self.calls.read_rate, self.switches.reads_per_s)
+        refusal = await self._admit(request, self.calls.read_bucket, self.switches.reads_per_s)
         if refusal is not None:
             return refusal
         if lease not in self._leases:
@@ -244,7 +246,7 @@
     @app.route(f"{wire.STORE_LEASE_END}<int:lease>", methods=["DELETE"])
     async def end(self, request: Request, lease: int) -> bytes:
         """End a lease and remove its keys."""
-        refusal = await self._enter(request, self.calls.write_rate, self.switches.writes_per_s)
+        refusal = await self._admit(request, self.calls.write_bucket, self.switches.writes_per_s)
         if refusal is not None:
             return refusal
         self._end_lease(lease)
@@ -252,7 +254,7 @@
 
     @app.route("/switches", methods=["POST"])
     def set_switches(self, request: Request) -> bytes:
-        """Change failure switches; an outage cuts all watches."""
+        """Change failure switches and apply those that act at once."""
         for name, value in json_body(request).items():
             setattr(self.switches, name, value)
         if self.switches.outage:
@@ -266,55 +268,60 @@
 
     @app.route("/calls", methods=["GET"])
     def count_calls(self, request: Request) -> bytes:
-        """Report how many calls were taken and refused."""
+        """Return the numbers of reads, writes and refused calls."""
         counts = {"reads": self.calls.reads, "writes": self.calls.writes}
         return self._reply(request, {**counts, "refused": self.calls.refused})
 
     def keep_copy(self) -> None:
-        """Take the copy from which the store may come back."""
-        self._copy = self._take_copy()
+        """Save a snapshot of the state, replacing the previous one."""
+        self._snapshot = self._make_snapshot()
 
-    def go_back(self, rewritten_after_s: float | None = REWRITTEN_AFTER_S) -> None:
-        """Come back from the last copy.
+    def go_back(self, rewrite_delay_s: float | None = OPERATOR_REWRITE_DELAY_S) -> None:
+        """Restore the last snapshot and start a new era.
 
-        What the operator has written is written again after a while, None: not at all.
+        Parameters
+        ----------
+        rewrite_delay_s : float or None
+            Delay until the operator's lost writes are repeated, in seconds; None to omit them.
         """
         written = {k: e.value for k, e in self._entries.items() if k.startswith(OPERATOR_PREFIX)}
-        copy = self._copy
-        self._revision, self._next_lease = copy.revision, copy.next_lease
-        self._entries = {key: replace(entry) for key, entry in copy.entries.items()}
-        self._history, self._leases = list(copy.history), dict(copy.leases)
+        snapshot = self._snapshot
+        self._revision, self._next_lease = snapshot.revision, snapshot.next_lease
+        self._entries = {key: replace(entry) for key, entry in snapshot.entries.items()}
+        self._history, self._leases = list(snapshot.history), dict(snapshot.leases)
         self.era += 1
         self.cut_watches()
-        if rewritten_after_s is not None:
-            self._clock.callLater(rewritten_after_s, self._write_again, written, copy.revision)
+        if rewrite_delay_s is not None:
+            self._clock.callLater(
+                rewrite_delay_s, self._repeat_operator_writes, written, snapshot.revision
+            )
 
-    def _write_again(self, written: dict[str, bytes], copied: int) -> None:
+    def _repeat_operator_writes(self, written: dict[str, bytes], snapshot_revision: int) -> None:
         for key, value in written.items():
-            if key not in self._entries or self._entries[key].revision <= copied:
+            if key not in self._entries or self._entries[key].revision <= snapshot_revision:
                 self.write(key, value)
 
-    def _take_copy(self) -> _Copy:
+    def _make_snapshot(self) -> _Snapshot:
         entries = {key: replace(entry) for key, entry in self._entries.items()}
         history, leases = list(self._history), dict(self._leases)
-        return _Copy(self._revision, entries, history, leases, self._next_lease)
+        return _Snapshot(self._revision, entries, history, leases, self._next_lease)
 
     def _reply(self, request: Request, body: object, status: int = 200) -> bytes:
-        """Answer; every answer names the era."""
+        """Return a JSON answer with the store's era in its header."""
         request.setHeader(wire.STORE_ERA, b"%d" % self.era)
         return json_reply(request, body, status)
 
     def cut_watches(self) -> None:
-        """Break the connections of all waiting watches."""
+        """Abort the connections of all waiting watches."""
         for request in list(self._watches):
             request.transport.abortConnection()
 
-    async def _enter(self, request: Request, rate: _Rate, per_s: float) -> bytes | None:
+    async def _admit(self, request: Request, bucket: _TokenBucket, per_s: float) -> bytes | None:
         if self.switches.silent:
             await defer.Deferred()
         if self.switches.outage:
             return self._reply(request, {"error": "unavailable"}, 503)
-        if not rate.take(self._clock.seconds(), per_s):
+        if not bucket.take(self._clock.seconds(), per_s):
             self.calls.refused += 1
             return self._reply(request, {"error": "too many requests"}, 429)
         if self.switches.delay_s:
@@ -340,7 +347,7 @@
             if revision > after and key.startswith(prefix)
         ]
 
-    def _holds(self, condition: dict) -> bool:
+    def _is_met(self, condition: dict) -> bool:
         entry = self._entries.get(condition["key"])
         return (entry.revision if entry else 0) == condition["revision"]
 
@@ -348,10 +355,10 @@
         self._history.append((key, entry, self._revision))
         for prefix, changed in list(self._watches.values()):
             if key.startswith(prefix) and not changed.called:
-                # In a later turn, so that one answer holds all that one call has changed.
+                # Deferred, so that the answer has all changes of the same transaction.
                 self._clock.callLater(0, lambda c=changed: c.called or c.callback(None))
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now_s = self._clock.seconds()
         for lease in [n for n, (_, end_s) in self._leases.items() if end_s <= now_s]:
             self._end_lease(lease)
@@ -372,7 +379,7 @@
         "key": key,
         "value": value,
         "revision": entry.revision,
-        "made": entry.made,
+        "made": entry.created_revision,
         "lease": entry.lease,
     }
 
--- a/gladedrum/standins/target.py
+++ b/gladedrum/standins/target.py
@@ -1,11 +1,14 @@
-"""A stand-in for a target of the users' platform: an engine, or a plain service.
-
-It lists itself in the store, serves plain requests and event streams, takes orders about memory,
-and writes a JSON line to standard output for each request that reaches it. What it does is asked
-for in a request's query: ``events`` (of a stream), ``pause_ms`` (before each event or the answer),
-``ends`` (1: the process ends soon after it has begun to run the request).
-``POST /switches`` brings about failures. On SIGTERM it says that it leaves, in the store and in its
-answers, serves on for a while, and ends.
+"""Stand-in for a target of the users' platform: an engine, or a plain service.
+
+It maintains its entry in the store's list of targets, serves plain requests and event streams,
+reserves memory by order, and logs what happens as JSON lines on standard output.
+
+The query of a request selects the answer: ``events`` (number of events in a stream; 0 for a plain
+answer), ``pause_ms`` (delay before each event or the answer) and ``ends`` (1: the process exits
+soon after the request has started to run). ``POST /switches`` injects failures.
+
+On SIGTERM the target announces in the store and in its answers that it leaves, continues to serve
+for a grace period, removes its entry and exits.
 """
 
 import argparse
@@ -33,15 +36,15 @@
 
 EVENT_TEXT = "id: {number}\ndata: {request_id}.{number}\n\n"
 
-ENDS_AFTER_S = 0.05
-"""How long a request runs that ends the process, in seconds."""
+EXIT_DELAY_S = 0.05
+"""Delay between the start of a request with ``ends`` and the exit, in seconds."""
 
-QUEUE = 24
-"""Requests that wait for a slot; further ones are refused."""
+MAX_WAITING_REQUESTS = 24
+"""Number of requests that may wait for a slot; further ones are refused."""
 
 
 def event_of(request_id: str, number: int) -> bytes:
-    """Return one event of the stream that answers a request."""
+    """Return event `number` of the stream that answers a request."""
     return EVENT_TEXT.format(number=number, request_id=request_id).encode()
 
 
@@ -52,27 +55,27 @@
 
 @dataclass
 class TargetSwitches:
-    """Failures of the target.
+    """Failures and announcements of the target.
 
     Parameters
     ----------
     lose_answers : int
-        How many of the next requests run and break off without an answer.
+        Number of next requests that run but whose connection is aborted without an answer.
     break_streams : int
-        How many of the next streams break off within an event.
+        Number of next streams that are aborted within an event.
     fail : int
-        How many of the next requests run and fail.
+        Number of next requests that run and then fail with status 500.
     silent : bool
-        Take requests and answer none.
+        Accept requests and never answer.
     held_until_s : float
-        No event and no plain answer goes out before this time, by the machine's monotonic clock in
-        seconds; what runs goes on after it, and reports and orders are answered meanwhile.
+        Hold all events and plain answers until this time on the machine's monotonic clock, in
+        seconds. Running requests continue afterwards; reports and orders are not held.
     rate_per_s : float or None
-        The requests a second that all answers name as what it takes from all boxes; None: none.
+        Rate limit for all boxes together that answers announce, in requests per second.
     leaves : bool
-        All answers say that it leaves.
+        Announce in all answers that the target leaves.
     rest_s : float or None
-        Turn requests away, and ask for so many seconds of rest; None: serve them.
+        Refuse requests and ask the boxes to pause for this number of seconds; None to serve.
     """
 
     lose_answers: int = 0
@@ -84,27 +87,27 @@
     leaves: bool = False
     rest_s: float | None = None
 
-    def use(self, name: str) -> bool:
-        """Whether the failure `name` strikes now; counts it."""
+    def consume(self, name: str) -> bool:
+        """Return whether the failure `name` is due, and decrement its counter."""
         left = getattr(self, name)
         setattr(self, name, max(0, left - 1))
         return left > 0
 
 
 class TargetService:
-    """One start of a target.
+    """A target, from the start to the end of its process.
 
     Parameters
     ----------
     service, data_hall, address : str
-        What its entry in the list says.
+        Service, data hall and address (IP:PORT) in the target's entry.
     slots, memory_tokens : int
-        Requests at once; memory for reservations.
+        Maximum number of concurrent requests; memory for reservations.
     store : StoreClient
-        Where the list is.
+        Client of the store that has the list of targets.
     heartbeat_s, serve_on_s : float
-        How often the entry is written, and how long it serves after it has said that it leaves; in
-        seconds.
+        Interval between writes of the entry, and grace period after the announcement that the
+        target leaves, in seconds.
     """
 
     app = Klein()
@@ -131,38 +134,38 @@
         )
 
     def stop(self) -> None:
-        """Write the entry no more."""
+        """Stop writing the entry."""
         self._entry.stop()
 
-    # The list.
+    # Entry in the list of targets.
 
-    async def keep_listed(self) -> None:
-        """Write the entry until stopped."""
-        self._note("started", service=self._service)
+    async def maintain_entry(self) -> None:
+        """Write the entry at every heartbeat until stopped."""
+        self._log("started", service=self._service)
         await self._entry.run()
 
-    async def leave(self) -> None:
-        """Say that the target leaves, serve on, remove the entry and end."""
+    async def drain(self) -> None:
+        """Announce that the target leaves, serve for the grace period, then exit."""
         if self._entry.is_leaving:
             return
         self.switches.leaves = True
-        await self._entry.tell_leaving()
-        self._note("leaving")
+        await self._entry.announce_leaving()
+        self._log("leaving")
         await sleep(self._serve_on_s)
         await self._entry.remove()
-        self._note("ended")
+        self._log("ended")
         reactor.stop()
 
     # Load and memory.
 
     @app.route(wire.REPORT_PATH, methods=["GET"])
     def report(self, request: Request) -> bytes:
-        """Tell the load."""
-        self._note("reported")
-        self._say_of_itself(request)
+        """Return the load and the reservations."""
+        self._log("reported")
+        self._set_status_headers(request)
         rows = [
             {"id": name, "tokens": row.tokens, "state": "held"}
-            for name, row in self._memory.held().items()
+            for name, row in self._memory.active().items()
         ]
         body = {
             "waiting": self._slots.waiting, "running": self._slots.running, "pace": 1.0,
@@ -173,17 +176,17 @@
 
     @app.route(wire.ORDER_PATH, methods=["POST"])
     def order(self, request: Request) -> bytes:
-        """Set memory aside, or free it."""
+        """Reserve memory, or release a reservation."""
         order = json_body(request)
-        self._note("ordered")
-        self._say_of_itself(request)
+        self._log("ordered")
+        self._set_status_headers(request)
         if order["op"] == "release":
             self._memory.release(order["id"])
             return json_reply(request, {})
-        free = self._memory.free_beside(order["id"])
+        free = self._memory.free_excluding(order["id"])
         if order["tokens"] > free:
             return json_reply(request, {"free": free}, HTTPStatus.CONFLICT)
-        self._memory.set_aside(order["id"], order["tokens"], order["holdMs"] / 1000)
+        self._memory.reserve(order["id"], order["tokens"], order["holdMs"] / 1000)
         return json_reply(request, {"free": free - order["tokens"]})
 
     @app.route("/switches", methods=["POST"])
@@ -191,49 +194,49 @@
         """Change failure switches."""
         for name, value in json_body(request).items():
             setattr(self.switches, name, value)
-        self._note("switched", rate_per_s=self.switches.rate_per_s)
+        self._log("switched", rate_per_s=self.switches.rate_per_s)
         return json_reply(request, vars(self.switches))
 
     # Requests.
 
     @app.route("/", methods=["GET", "POST"], branch=True)
     async def serve(self, request: Request) -> bytes | None:
-        """Serve any other request."""
-        gone = request.notifyFinish()
-        gone.addErrback(lambda _failure: None)
+        """Serve a request of a caller, which a box has forwarded."""
+        disconnected = request.notifyFinish()
+        disconnected.addErrback(lambda _failure: None)
         raw_id = request.getHeader(wire.REQUEST_ID) or b""
         request.setHeader(wire.REQUEST_ID, raw_id)
-        self._say_of_itself(request)
+        self._set_status_headers(request)
         request_id = raw_id.decode("latin-1")
         expected = request.getHeader(wire.EXPECTED_TARGET)
         if expected and expected.decode() != self.name:
             return self._refuse(request, HTTPStatus.MISDIRECTED_REQUEST)
-        self._note("arrived", request_id=request_id)
+        self._log("arrived", request_id=request_id)
         if self.switches.leaves:
-            self._note("told leaving", request_id=request_id)
+            self._log("told leaving", request_id=request_id)
         if self.switches.rest_s is not None:
-            self._note("wants rest", request_id=request_id, rest_s=self.switches.rest_s)
+            self._log("wants rest", request_id=request_id, rest_s=self.switches.rest_s)
             request.setHeader(wire.RETRY_AFTER, b"%g" % self.switches.rest_s)
             return self._refuse(request, HTTPStatus.SERVICE_UNAVAILABLE)
-        if self._slots.waiting >= QUEUE:
+        if self._slots.waiting >= MAX_WAITING_REQUESTS:
             return self._refuse(request, HTTPStatus.SERVICE_UNAVAILABLE)
-        await self._slots.take()
+        await self._slots.acquire()
         try:
-            return await self._run(request, request_id, gone)
+            return await self._run(request, request_id, disconnected)
         finally:
-            self._slots.give()
+            self._slots.release()
 
     async def _run(
-        self, request: Request, request_id: str, gone: defer.Deferred[None]
+        self, request: Request, request_id: str, disconnected: defer.Deferred[None]
     ) -> bytes | None:
-        if gone.called:
+        if disconnected.called:
             return None
         after = int(request.getHeader(wire.LAST_EVENT_ID) or b"0")
         organisation = (request.getHeader(wire.ORGANISATION) or b"").decode()
-        self._note("ran", request_id=request_id, organisation=organisation, after=after)
+        self._log("ran", request_id=request_id, organisation=organisation, after=after)
         if int(_query(request, "ends")):
-            await sleep(ENDS_AFTER_S)
-            self._note("ended by", request_id=request_id)
+            await sleep(EXIT_DELAY_S)
+            self._log("ended by", request_id=request_id)
             os._exit(1)
         if self.switches.silent:
             await defer.Deferred()
@@ -243,11 +246,11 @@
         if events:
             await self._stream(request, request_id, range(after + 1, events + 1), pause_s)
             return None
-        await self._pause(pause_s)
-        if self.switches.use("lose_answers"):
+        await self._delay(pause_s)
+        if self.switches.consume("lose_answers"):
             request.transport.abortConnection()
             return None
-        if self.switches.use("fail"):
+        if self.switches.consume("fail"):
             request.setResponseCode(HTTPStatus.INTERNAL_SERVER_ERROR)
         return plain_answer_of(request_id)
 
@@ -259,29 +262,29 @@
         pause_s: float,
     ) -> None:
         request.setHeader(b"content-type", b"text/event-stream")
-        breaks = self.switches.use("break_streams")
+        breaks = self.switches.consume("break_streams")
         for number in numbers:
             try:
-                await self._pause(pause_s)
+                await self._delay(pause_s)
             except defer.CancelledError:
-                # The other side has closed the connection; Klein cancels what runs then.
-                self._note("broken off", request_id=request_id, before=number)
+                # Klein cancels the handler when the peer closes the connection.
+                self._log("broken off", request_id=request_id, before=number)
                 raise
             event = event_of(request_id, number)
             if breaks and number > numbers.start:
-                self._note("broke", request_id=request_id, before=number)
+                self._log("broke", request_id=request_id, before=number)
                 request.write(event[: len(event) // 2])
                 request.transport.abortConnection()
                 return
             request.write(event)
 
-    async def _pause(self, pause_s: float) -> None:
-        """Pause as the request asks for, and for as long as all answers are held."""
+    async def _delay(self, pause_s: float) -> None:
+        """Wait for the pause that the request asks for, and until answers are no longer held."""
         await sleep(pause_s)
         while (left_s := self.switches.held_until_s - time.monotonic()) > 0:
             await sleep(left_s)
 
-    def _say_of_itself(self, request: Request) -> None:
+    def _set_status_headers(self, request: Request) -> None:
         if self.switches.rate_per_s is not None:
             request.setHeader(wire.RATE_LIMIT, b"%g" % self.switches.rate_per_s)
         if self.switches.leaves:
@@ -292,7 +295,7 @@
         request.setHeader(wire.NOT_RUN, b"1")
         return b"not run"
 
-    def _note(self, what: str, **fields: object) -> None:
+    def _log(self, what: str, **fields: object) -> None:
         row = {"at_s": time.monotonic(), "target": self.name, "what": what, **fields}
         sys.stdout.write(json.dumps(row) + "\n")
         sys.stdout.flush()
@@ -324,12 +327,12 @@
         args.heartbeat_s,
         args.serve_on_s,
     )
-    reactor.callWhenRunning(lambda: start(service.keep_listed()))
+    reactor.callWhenRunning(lambda: start(service.maintain_entry()))
 
     def on_term(_number: int, _frame: object) -> None:
-        reactor.callFromThread(lambda: start(service.leave()))
+        reactor.callFromThread(lambda: start(service.drain()))
 
-    # After the reactor has put its own handler.
+    # Deferred, since the reactor installs its own handler when it starts.
     reactor.callLater(0, signal.signal, signal.SIGTERM, on_term)
     return service
 
--- a/gladedrum/standins/target_entry.py
+++ b/gladedrum/standins/target_entry.py
@@ -1,4 +1,7 @@
-"""A stand-in target's entry in the list of targets: written under a lease, again and again."""
+"""Writer of a stand-in target's entry in the store's list of targets.
+
+The entry belongs to a lease, which every heartbeat renews.
+"""
 
 import json
 import time
@@ -10,29 +13,29 @@
 __all__ = ["TargetEntryWriter"]
 
 LEASE_HEARTBEATS = 3
-"""An entry outlives so many heartbeats of silence."""
+"""Duration of the lease, in heartbeats."""
 
 RETRY_S = 0.1
-"""Pause before a write that a leaving target needs is tried again, in seconds."""
+"""Delay before a failed write of a leaving target is retried, in seconds."""
 
 _STORE_ERRORS = (KVUnavailableError, KVUnknownError, KVConflictError)
 
 
 class TargetEntryWriter:
-    """Keeps the entry in the store.
+    """Writes the entry at every heartbeat and removes it at the end.
 
     Parameters
     ----------
     store : StoreClient
-        Where the list is.
+        Client of the store that has the list.
     name : str
         The target's name.
     service, address, data_hall : str
-        What the entry says.
+        Service, address (IP:PORT) and data hall of the target.
     slots : int
-        As well.
+        Number of concurrent requests that the target runs.
     heartbeat_s : float
-        How often the entry is written, in seconds.
+        Interval between writes of the entry, in seconds.
     """
 
     def __init__(
@@ -47,55 +50,55 @@
     ):
         self._store = store
         self._key = wire.TARGETS_PREFIX + name
-        self._told = {
+        self._fields = {
             "service": service, "address": address, "zone": data_hall, "version": "v1",
             "slots": slots, "coldLeftMs": 0, "born": int(time.time() * 1000),
         }  # fmt: skip
-        self.born = self._told["born"]
+        self.born = self._fields["born"]
         self._heartbeat_s = heartbeat_s
         self._state = "ready"
-        self._beats = 0
+        self._sequence = 0
         self._lease: Lease | None = None
         self._stopped = False
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the entry says, or is about to say, that the target leaves."""
+        """True once the target has started to announce that it leaves."""
         return self._state == "draining"
 
     async def run(self) -> None:
-        """Write the entry until stopped."""
+        """Write the entry at every heartbeat until stopped."""
         while not self._stopped:
             await self._write()
             await sleep(self._heartbeat_s)
 
     def stop(self) -> None:
-        """Write the entry no more."""
+        """Stop writing the entry."""
         self._stopped = True
 
-    async def tell_leaving(self) -> None:
-        """Say that the target leaves; returns when the store has taken it."""
+    async def announce_leaving(self) -> None:
+        """Write that the target leaves; return when the store has confirmed the write."""
         self._state = "draining"
         while not await self._write():
             await sleep(RETRY_S)
 
     async def remove(self) -> None:
-        """Write the entry no more, and remove it."""
+        """Stop writing the entry and remove it by ending its lease."""
         self._stopped = True
         while self._lease:
             try:
                 await self._store.end_lease(self._lease)
                 break
             except KVConflictError:
-                # It is over, and the entry with it.
+                # The lease has already ended, so the entry is gone.
                 break
             except (KVUnavailableError, KVUnknownError):
                 await sleep(RETRY_S)
 
     async def _write(self) -> bool:
-        """Write the entry; False if the store did not say that it has taken it."""
-        self._beats += 1
-        raw = json.dumps({**self._told, "state": self._state, "seq": self._beats}).encode()
+        """Write the entry; return False if the store did not confirm the write."""
+        self._sequence += 1
+        raw = json.dumps({**self._fields, "state": self._state, "seq": self._sequence}).encode()
         try:
             if not self._lease:
                 self._lease = await self._store.grant_lease(LEASE_HEARTBEATS * self._heartbeat_s)
--- a/gladedrum/standins/target_memory.py
+++ b/gladedrum/standins/target_memory.py
@@ -1,4 +1,4 @@
-"""The memory of a stand-in target: reservations, each with an end of its own."""
+"""Memory of a stand-in target: reservations that expire."""
 
 import time
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 @dataclass
 class Reservation:
-    """Memory that is set aside.
+    """A reservation of memory.
 
     Parameters
     ----------
     tokens : int
-        How much.
+        Size, in tokens.
     ends_s : float
-        When it is free again by itself, by the monotonic clock in seconds.
+        Time of expiry on the monotonic clock, in seconds.
     """
 
     tokens: int
@@ -23,33 +23,33 @@
 
 
 class TargetMemory:
-    """The memory for reservations.
+    """Tracks the reservations of a target's memory.
 
     Parameters
     ----------
     tokens : int
-        How much there is.
+        Total size, in tokens.
     """
 
     def __init__(self, tokens: int):
         self.tokens = tokens
         self._rows: dict[str, Reservation] = {}
 
-    def held(self) -> dict[str, Reservation]:
-        """Return the reservations that have not ended, by their ids."""
+    def active(self) -> dict[str, Reservation]:
+        """Return the reservations that have not expired, by id."""
         now_s = time.monotonic()
         self._rows = {name: row for name, row in self._rows.items() if row.ends_s > now_s}
         return self._rows
 
-    def free_beside(self, name: str) -> int:
-        """Return how many tokens are free if the reservation `name` does not count."""
-        others = sum(row.tokens for other, row in self.held().items() if other != name)
+    def free_excluding(self, name: str) -> int:
+        """Return the number of free tokens, without counting reservation `name` as used."""
+        others = sum(row.tokens for other, row in self.active().items() if other != name)
         return self.tokens - others
 
-    def set_aside(self, name: str, tokens: int, hold_s: float) -> None:
-        """Set memory aside for `hold_s` seconds, in place of what `name` held before."""
+    def reserve(self, name: str, tokens: int, hold_s: float) -> None:
+        """Reserve memory for `hold_s` seconds; replaces an earlier reservation `name`."""
         self._rows[name] = Reservation(tokens, time.monotonic() + hold_s)
 
     def release(self, name: str) -> None:
-        """Free what `name` holds, if anything."""
+        """Release reservation `name`, if it exists."""
         self._rows.pop(name, None)
--- a/gladedrum/standins/tests/test_slots.py
+++ b/gladedrum/standins/tests/test_slots.py
@@ -1,15 +1,15 @@
-"""A slot goes to a request that still waits, and is not lost with one that was closed."""
+"""A slot is not leaked to a request that was closed while it waited."""
 
 from twisted.internet import defer
 
 from gladedrum.standins.slots import Slots
 
 
-def test_a_request_that_is_closed_while_it_waits_takes_no_slot():
+def test_request_closed_while_waiting_occupies_no_slot():
     slots = Slots(1)
-    defer.ensureDeferred(slots.take())
-    closed = defer.ensureDeferred(slots.take())
+    defer.ensureDeferred(slots.acquire())
+    closed = defer.ensureDeferred(slots.acquire())
     closed.addErrback(lambda failure: failure.trap(defer.CancelledError))
     closed.cancel()
-    slots.give()
+    slots.release()
     assert (slots.running, slots.waiting) == (0, 0)
--- a/gladedrum/standins/tests/test_target.py
+++ b/gladedrum/standins/tests/test_target.py
@@ -1,4 +1,4 @@
-"""A target whose answers are held lives and goes on, and tells which streams were closed."""
+"""A target with held answers stays responsive, resumes, and logs streams that callers close."""
 
 import io
 import json
@@ -13,32 +13,32 @@
 from gladedrum.utils import WebClient
 
 HELD_S, LONG_HELD_S = 0.3, 3600.0
-"""How long answers are held, in seconds: until the test sees them, and for longer than it lasts."""
+"""Durations for which answers are held, in seconds; the second exceeds the test's timeout."""
 
-CHECK_S = 0.01
-"""How often it is looked for a note, in seconds."""
+POLL_INTERVAL_S = 0.01
+"""Interval between checks of the log, in seconds."""
 
 REQUEST = b"GET /stream/x?events=2&pause_ms=1 HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
 class Collector(protocol.Protocol):
-    """Keeps what comes, and when the first event came."""
+    """Collects the received bytes and the time of the first event."""
 
     def __init__(self):
-        self.got = b""
+        self.received = b""
         self.first_event_s = None
-        self.whole = defer.Deferred()
+        self.complete = defer.Deferred()
 
     def dataReceived(self, data):
-        self.got += data
-        if self.first_event_s is None and b"data:" in self.got:
+        self.received += data
+        if self.first_event_s is None and b"data:" in self.received:
             self.first_event_s = time.monotonic()
-        if self.got.endswith(b"\r\n0\r\n\r\n"):
-            self.whole.callback(None)
+        if self.received.endswith(b"\r\n0\r\n\r\n"):
+            self.complete.callback(None)
 
 
 class HeldAnswersTest(TestCase):
-    """Against a target in this process."""
+    """Runs a target in the process of the test."""
 
     timeout = 20
 
@@ -62,34 +62,34 @@
         await self.call("POST", "/switches", {"held_until_s": held_until_s})
         return held_until_s
 
-    async def ask(self):
+    async def send_request(self):
         creator = protocol.ClientCreator(reactor, Collector)
         conn = await creator.connectTCP(LOOPBACK, self.port)
         conn.transport.write(REQUEST)
-        await self.noted("ran")
+        await self.wait_for_log("ran")
         return conn
 
-    async def noted(self, what):
-        while what not in self.notes():
-            await sleep(CHECK_S)
+    async def wait_for_log(self, what):
+        while what not in self.logged():
+            await sleep(POLL_INTERVAL_S)
 
-    def notes(self):
+    def logged(self):
         return [json.loads(line)["what"] for line in self.stdout.getvalue().splitlines()]
 
-    async def test_it_goes_on_when_the_time_has_come(self):
+    async def test_held_stream_continues_after_the_hold(self):
         held_until_s = await self.hold(HELD_S)
-        conn = await self.ask()
-        await conn.whole
+        conn = await self.send_request()
+        await conn.complete
         assert conn.first_event_s >= held_until_s
-        assert event_of("", 1) in conn.got
-        assert event_of("", 2) in conn.got
-        assert "broken off" not in self.notes()
+        assert event_of("", 1) in conn.received
+        assert event_of("", 2) in conn.received
+        assert "broken off" not in self.logged()
         conn.transport.abortConnection()
 
-    async def test_it_answers_reports_meanwhile_and_tells_which_streams_were_closed(self):
+    async def test_reports_are_answered_and_closed_streams_logged_during_the_hold(self):
         await self.hold(LONG_HELD_S)
-        conn = await self.ask()
+        conn = await self.send_request()
         assert (await self.call("GET", "/api/report")).body["running"] == 1
         conn.transport.abortConnection()
-        await self.noted("broken off")
+        await self.wait_for_log("broken off")
         assert conn.first_event_s is None
