--- a/gladedrum/replay/local.py
+++ b/gladedrum/replay/local.py
@@ -38,7 +38,7 @@
 MESSAGE_S = 0.001
 """One-way delay of a message between boxes, or between a box and a target, in seconds."""
 
-_TICK_S = 0.05
+_LATE_CHECK_INTERVAL_S = 0.05
 """Interval between checks for queued requests that are too late to start, in seconds."""
 
 
@@ -119,7 +119,7 @@
     row: TraceRow
     job: Job
     segments: list[_Segment] = field(default_factory=list)
-    granted: int = 0
+    granted_count: int = 0
     first_token_at_s: float | None = None
     record: ReplayRecord | None = None
 
@@ -135,32 +135,32 @@
         self._sequence = itertools.count()
         self._engines = {e.name: e for e in _make_engines(fleet)}
         self._requests = [
-            _Request(number, row, _job(number, row)) for number, row in enumerate(rows)
+            _Request(number, row, _make_job(number, row)) for number, row in enumerate(rows)
         ]
         self._by_id: dict[str, _Request] = {}
         self._unfinished = len(self._requests)
 
     def run(self) -> list[ReplayRecord]:
         for req in self._requests:
-            self._at(req.row.arrival_s, lambda r=req: self._arrive(r))
+            self._call_at(req.row.arrival_s, lambda r=req: self._on_arrival(r))
         if self._fleet.lost_engines:
-            self._at(self._fleet.lost_at_s, self._fail_engines)
-        self._at(_TICK_S, self._tick)
+            self._call_at(self._fleet.lost_at_s, self._fail_engines)
+        self._call_at(_LATE_CHECK_INTERVAL_S, self._drop_late_jobs)
         while self._unfinished:
             self._now_s, _, action = heapq.heappop(self._events)
             action()
         return [req.record for req in self._requests]
 
-    def _at(self, at_s: float, action: Callable[[], None]) -> None:
+    def _call_at(self, at_s: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (at_s, next(self._sequence), action))
 
-    def _after(self, delay_s: float, action: Callable[[], None]) -> None:
-        self._at(self._now_s + delay_s, action)
+    def _call_later(self, delay_s: float, action: Callable[[], None]) -> None:
+        self._call_at(self._now_s + delay_s, action)
 
     # Placement, with the same steps as `entry.placement`.
 
-    def _arrive(self, req: _Request) -> None:
-        self._at(req.job.deadline_s, lambda: self._finish(req, "failed", "deadline exceeded"))
+    def _on_arrival(self, req: _Request) -> None:
+        self._call_at(req.job.deadline_s, lambda: self._finish(req, "failed", "deadline exceeded"))
         views = [
             TargetView(e.name, e.queue.traits.memory_tokens)
             for e in self._engines.values()
@@ -172,9 +172,9 @@
         if len(names) < max(1, len(jobs)):
             self._finish(req, "not-run", "no target can run the request")
             return
-        self._after(2 * MESSAGE_S, lambda: self._choose(req, jobs, names))
+        self._call_later(2 * MESSAGE_S, lambda: self._choose_engines(req, jobs, names))
 
-    def _choose(self, req: _Request, jobs: list[Job], names: list[str]) -> None:
+    def _choose_engines(self, req: _Request, jobs: list[Job], names: list[str]) -> None:
         quotes = {
             name: self._engines[name].queue.quote(jobs[0], self._policy, self._now_s)
             for name in names
@@ -190,41 +190,41 @@
         ]
         alternatives = accepted[1:] if len(jobs) == 1 else []
         self._by_id.update({segment.job.job_id: req for segment in req.segments})
-        self._after(MESSAGE_S, lambda: self._reserve(req, alternatives))
+        self._call_later(MESSAGE_S, lambda: self._reserve(req, alternatives))
 
     def _reserve(self, req: _Request, alternatives: list[str]) -> None:
         """Request a reservation for the next segment; its grant triggers the following one."""
         if req.record is not None:
             return
-        segment = req.segments[req.granted]
+        segment = req.segments[req.granted_count]
         answer = segment.engine.queue.offer(segment.job, self._policy, self._now_s)
         if isinstance(answer, Refused):
             if not alternatives:
                 self._finish(req, "not-run", answer.reason)
                 return
             segment.engine = self._engines[alternatives[0]]
-            self._after(MESSAGE_S, lambda: self._reserve(req, alternatives[1:]))
+            self._call_later(MESSAGE_S, lambda: self._reserve(req, alternatives[1:]))
             return
         self._send_grants(segment.engine)
 
     def _send_grants(self, engine: _Engine) -> None:
         for grant in engine.queue.pump(self._now_s):
-            self._after(MESSAGE_S, lambda g=grant: self._granted(g))
+            self._call_later(MESSAGE_S, lambda g=grant: self._on_grant(g))
 
-    def _granted(self, grant: Grant) -> None:
+    def _on_grant(self, grant: Grant) -> None:
         req = self._by_id[grant.job.job_id]
         if req.record is not None:
             return
-        req.segments[req.granted].priority = grant.priority
-        req.granted += 1
-        if req.granted < len(req.segments):
-            self._after(MESSAGE_S, lambda: self._reserve(req, []))
+        req.segments[req.granted_count].priority = grant.priority
+        req.granted_count += 1
+        if req.granted_count < len(req.segments):
+            self._call_later(MESSAGE_S, lambda: self._reserve(req, []))
         else:
-            self._after(MESSAGE_S, lambda: self._start(req, 0))
+            self._call_later(MESSAGE_S, lambda: self._start_segment(req, 0))
 
     # Engines.
 
-    def _start(self, req: _Request, number: int) -> None:
+    def _start_segment(self, req: _Request, number: int) -> None:
         segment = req.segments[number]
         if req.record is not None or segment.engine.failed:
             return
@@ -248,7 +248,7 @@
         if step is not None:
             engine.stepping = True
             duration_s, chunks = step
-            self._after(duration_s, lambda: self._finish_step(engine, chunks))
+            self._call_later(duration_s, lambda: self._finish_step(engine, chunks))
 
     def _finish_step(self, engine: _Engine, chunks: list[tuple[Session, int]]) -> None:
         engine.stepping = False
@@ -263,16 +263,18 @@
         req = self._by_id[session_id]
         if piece.held:
             number = next(n for n, p in enumerate(req.segments) if p.job.job_id == session_id)
-            self._after(2 * MESSAGE_S, lambda: self._first_token(req, number))
-            self._after(2 * MESSAGE_S, lambda: self._start(req, number + 1))
+            self._call_later(2 * MESSAGE_S, lambda: self._on_first_token(req, number))
+            self._call_later(2 * MESSAGE_S, lambda: self._start_segment(req, number + 1))
             return
         if piece.offset == 0:
             req.first_token_at_s = self._now_s + MESSAGE_S
-            self._after(2 * MESSAGE_S, lambda: self._first_token(req, len(req.segments) - 1))
+            self._call_later(
+                2 * MESSAGE_S, lambda: self._on_first_token(req, len(req.segments) - 1)
+            )
         if piece.last:
-            self._after(MESSAGE_S, lambda: self._finish(req, "completed"))
+            self._call_later(MESSAGE_S, lambda: self._finish(req, "completed"))
 
-    def _first_token(self, req: _Request, number: int) -> None:
+    def _on_first_token(self, req: _Request, number: int) -> None:
         if req.record is None:
             segment = req.segments[number]
             segment.engine.queue.first_token(segment.job.job_id, self._now_s)
@@ -300,14 +302,14 @@
             segment.engine.queue.release(segment.job.job_id, self._now_s)
             self._send_grants(segment.engine)
 
-    def _tick(self) -> None:
+    def _drop_late_jobs(self) -> None:
         for engine in self._engines.values():
             for job in engine.queue.drop_late(self._now_s):
                 self._finish(
                     self._by_id[job.job_id], "not-run", "cannot start in time to meet the deadline"
                 )
             self._send_grants(engine)
-        self._after(_TICK_S, self._tick)
+        self._call_later(_LATE_CHECK_INTERVAL_S, self._drop_late_jobs)
 
 
 def _make_engines(fleet: LocalFleet) -> list[_Engine]:
@@ -327,7 +329,7 @@
     ]
 
 
-def _job(number: int, row: TraceRow) -> Job:
+def _make_job(number: int, row: TraceRow) -> Job:
     return Job(
         job_id=f"r{number}",
         organisation=row.organisation,
--- a/gladedrum/replay/report.py
+++ b/gladedrum/replay/report.py
@@ -92,7 +92,7 @@
     duration_s = max((r.row.arrival_s for r in records), default=1.0)
     work = sum(r.row.prompt_tokens + r.row.output_tokens for r in done)
     ratios = slowdowns(records, baseline)
-    p95_with, p95_baseline = _short_p95(records), _short_p95(baseline)
+    p95_full, p95_baseline = _short_p95(records), _short_p95(baseline)
     return PolicyFigures(
         policy=policy,
         requests=len(records),
@@ -105,13 +105,16 @@
         goodput_tokens_per_s=work / duration_s,
         fairness=_fairness(records),
         slowdown=quantiles(ratios),
-        slowdown_of_p95=p95_with / p95_baseline if p95_baseline else 0.0,
+        slowdown_of_p95=p95_full / p95_baseline if p95_baseline else 0.0,
         by_length=_by_length(records),
     )
 
 
 def slowdowns(records: Sequence[ReplayRecord], baseline: Sequence[ReplayRecord]) -> list[float]:
-    """Return the slowdown of each request that has a first token in both replays."""
+    """Return the slowdown of each request that has a first token in both replays.
+
+    The baseline has no long prompts, so these are requests with short prompts.
+    """
     baseline_s = {r.row: r.first_token_s for r in baseline}
     return [
         r.first_token_s / baseline_s[r.row]
--- a/gladedrum/standins/service.py
+++ b/gladedrum/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service, whose calls may have side effects and not be repeatable."""
+"""Stand-in for a plain service, some of whose calls must not be retried."""
 
 import argparse
 
--- a/gladedrum/standins/target.py
+++ b/gladedrum/standins/target.py
@@ -71,7 +71,8 @@
         Hold all events and plain answers until this time on the machine's monotonic clock, in
         seconds. Running requests continue afterwards; reports and orders are not held.
     rate_per_s : float or None
-        Rate limit for all boxes together that answers announce, in requests per second.
+        Rate limit for all boxes together that answers announce, in requests per second; None to
+        announce none.
     leaves : bool
         Announce in all answers that the target leaves.
     rest_s : float or None
