--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -84,11 +84,11 @@
         self._copy = None
         self._changed: defer.Deferred[None] = defer.Deferred()
 
-    def keep_copy(self) -> None:
+    def save_snapshot(self) -> None:
         rows = self._items, self._lease_of, self._expires_s, self._ttl_s
         self._copy = self.revision, self._next_lease, [dict(row) for row in rows]
 
-    def go_back(self) -> None:
+    def restore_snapshot(self) -> None:
         """Restore the copy; targets and the operator write theirs again at once."""
         written = {
             key: item.value
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -152,10 +152,10 @@
     """Thundering herd: every box has to refresh, and most need only the table."""
     fleet = VirtualFleet(BOXES)
     fleet.run(10.0)
-    fleet.store.keep_copy()
+    fleet.store.save_snapshot()
     fleet.run(3.0)
     before = fleet.store.calls.copy()
-    fleet.store.go_back()
+    fleet.store.restore_snapshot()
     fleet.run(3.0)
     assert {box.store.era for box in fleet.boxes.values()} == {2}
     assert len(fleet.store.keys(BOXES_PREFIX)) >= REGISTERED_BOXES
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -83,12 +83,12 @@
 
     async def test_a_version_under_a_reissued_revision_is_seen(self):
         self.write_version(1)
-        self.service.keep_copy()
+        self.service.save_snapshot()
         for number in range(5):
             self.service.write("other", b"%d" % number)
         configuration = self.configuration()
         assert await self.until(lambda: configuration.table is not None)
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         self.write_version(2)
         for number in range(20):
             self.service.write("other", b"%d" % number)
@@ -96,11 +96,11 @@
 
     async def test_the_configuration_in_force_stays_until_the_store_has_caught_up(self):
         self.write_version(1, "old")
-        self.service.keep_copy()
+        self.service.save_snapshot()
         self.write_version(2, "new")
         configuration = self.configuration()
         assert await self.until(lambda: configuration.table is not None)
-        self.service.go_back(2.5)
+        self.service.restore_snapshot(2.5)
         confirmed_s = configuration._confirmed_s
         for _ in range(40):
             await sleep(reactor, 0.05)
@@ -116,20 +116,20 @@
     async def test_boxes_started_before_and_after_the_restore_know_each_other(self):
         first = self.box("a.1", 1)
         assert await self.until(lambda: "a.1" in self.entry_names())
-        self.service.keep_copy()
+        self.service.save_snapshot()
         for number in range(20):
             self.service.write("other", b"%d" % number)
         assert await self.until(lambda: first.revision != -1)
         await first._list()
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         second = self.box("b.1", 2)
         assert await self.until(lambda: "b.1" in first.entries and "a.1" in second.entries)
 
     async def test_a_reissued_lease_of_another_box_is_not_renewed_or_ended(self):
         first = self.box("a.1", 1)
-        self.service.keep_copy()
+        self.service.save_snapshot()
         assert await self.until(lambda: "a.1" in self.entry_names())
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         second = self.box("b.1", 2)
         assert await self.until(lambda: "b.1" in self.entry_names())
         assert await self.until(lambda: "a.1" in self.entry_names(), 6.0)
@@ -144,11 +144,11 @@
 
     async def test_targets_missing_from_the_copy_may_reappear(self):
         self.write_target("t1")
-        self.service.keep_copy()
+        self.service.save_snapshot()
         self.write_target("t2")
         targets = self.targets()
         assert await self.until(lambda: "t2" in targets.entries)
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         for _ in range(round((REAPPEAR_GRACE_S - 1.0) / 0.05)):
             await sleep(reactor, 0.05)
             assert targets.accepts_requests("t2")
@@ -159,7 +159,7 @@
     async def test_leaving_targets_stay_leaving_and_gone_ones_stay_gone(self):
         self.write_target("t1")
         self.write_target("t2")
-        self.service.keep_copy()
+        self.service.save_snapshot()
         targets = self.targets()
         assert await self.until(lambda: len(targets.entries) == 2)
         self.write_target("t1", "draining")
@@ -167,7 +167,7 @@
         assert await self.until(
             lambda: not targets.accepts_requests("t1") and "t2" not in targets.entries
         )
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         for _ in range(60):
             await sleep(reactor, 0.05)
             assert not targets.accepts_requests("t1")
--- a/gladedrum/platform/tests/test_store.py
+++ b/gladedrum/platform/tests/test_store.py
@@ -171,9 +171,9 @@
         restores = []
         self.kv.on_restored.append(lambda before, era: restores.append((before, era)))
         revision = await self.kv.swap("a", b"1", ABSENT)
-        self.service.keep_copy()
+        self.service.save_snapshot()
         lease = await self.kv.grant_lease(5)
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         assert (await self.kv.get("a")).revision > revision
         assert restores == [(1, 2)]
         again = await self.kv.grant_lease(5)
@@ -190,7 +190,7 @@
 
     async def test_refusal_names_the_era_too(self):
         await self.kv.get("a")
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         self.service.switches.reads_per_s = 0.0
         await self.assertFailure(start(self.kv.get("a")), KVUnavailableError)
         assert self.kv.era == 2
--- a/gladedrum/table/tests/test_from_copy.py
+++ b/gladedrum/table/tests/test_from_copy.py
@@ -57,7 +57,7 @@
         """Return two boxes that have an edit which the copy of the store lacks."""
         boxes = [self.box(), self.box()]
         await self.edit("weight", 1.0, 0)
-        self.service.keep_copy()
+        self.service.save_snapshot()
         await self.edit("weight", 2.0, 1)
         await self.wait_for_rows(boxes, weight=2.0)
         return boxes
@@ -75,7 +75,7 @@
 
     async def test_an_accepted_edit_is_restored(self):
         boxes = await self.boxes_ahead_of_the_copy()
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         await self.wait_until_equal(boxes, weight=2.0)
         history = await self.operator.history(5)
         assert [edit.cells[0].value for edit in history] == [2.0, 1.0]
@@ -84,13 +84,13 @@
     async def test_cells_that_were_set_after_the_loss_keep_their_values(self):
         boxes = [self.box(), self.box()]
         await self.edit("weight", 1.0, 0)
-        self.service.keep_copy()
+        self.service.save_snapshot()
         cells = [Cell("default", "weight", 2.0), Cell("default", "deadline_s", 9.0)]
         await self.operator.edit(cells, 1, "somebody", "why")
         await self.wait_for_rows(boxes, weight=2.0, deadline_s=9.0)
         self.service.cut_watches()
         self.service.switches.outage = True
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         self.service.switches.outage = False
         await self.edit("weight", 3.0, 1, TableStore(self.store()))
         await self.wait_until_equal(boxes, weight=3.0, deadline_s=9.0)
@@ -100,10 +100,10 @@
         box = self.box()
         await self.edit("weight", 1.0, 0)
         await self.wait_for_rows([box], weight=1.0)
-        self.service.keep_copy()
+        self.service.save_snapshot()
         accepted = await self.edit("weight", 2.0, 1)
         box.keep_accepted(accepted.edit)
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         await self.wait_until_equal([box], weight=2.0)
 
     async def test_a_write_that_succeeded_by_accident_is_detected_and_repaired(self):
@@ -112,7 +112,7 @@
         boxes = await self.boxes_ahead_of_the_copy()
         stale_client = self.store()
         item = await stale_client.get("gladedrum/table/head")
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         await self.edit("deadline_s", 7.0, 1, TableStore(self.store()))
         await self.wait_for_rows(boxes, weight=2.0, deadline_s=7.0)
         # A client that still assumes the earlier era learns of the new one only from the reply to
@@ -128,8 +128,8 @@
 
     async def test_two_restores_in_quick_succession(self):
         boxes = await self.boxes_ahead_of_the_copy()
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         await sleep(reactor, 0.05)
-        self.service.go_back(None)
+        self.service.restore_snapshot(None)
         await self.wait_until_equal(boxes, weight=2.0)
         assert boxes[0].table.era == 3
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -9,7 +9,7 @@
 from twisted.internet import defer, protocol, reactor
 
 from gladedrum.platform import wire
-from gladedrum.standins.wire_heads import caller_head
+from gladedrum.standins.request_headers import caller_headers
 from gladedrum.utils import sleep
 
 from .history import Ending, History, Kind, SentRequest
@@ -244,7 +244,7 @@
         path = f"/{record.kind.value}/x?events={events}&pause_ms={pause_ms}"
         body = b"" if repeatable else b"b" * self._rng.choice(BODY_BYTES)
         tokens = self._rng.choices(PROMPT_TOKENS, self._prompt_weights)[0] if events else 0
-        headers = caller_head(record.request_id, record.limit_s, record.key, tokens, len(body))
+        headers = caller_headers(record.request_id, record.limit_s, record.key, tokens, len(body))
         method = b"GET" if repeatable else b"POST"
         return h11.Request(method=method, target=path, headers=headers), body
 
@@ -270,7 +270,7 @@
 
     def _make_request(self, record: SentRequest) -> tuple[h11.Request, bytes]:
         body = b"deadly"
-        headers = caller_head(record.request_id, record.limit_s, "", PROMPT_TOKENS[0], len(body))
+        headers = caller_headers(record.request_id, record.limit_s, "", PROMPT_TOKENS[0], len(body))
         headers = [row for row in headers if row[0] != wire.AUTHORIZATION]
         path = f"/{Kind.DEADLY.value}/x?events=1&ends=1"
         return h11.Request(method=b"POST", target=path, headers=headers), body
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -9,7 +9,7 @@
 from gladedrum.platform import ABSENT, StoreClient
 from gladedrum.routes import Organisation, Route, RouteTable, Service, ServiceShare
 from gladedrum.standins.operator import CONFIGURATION_KEY, configuration_bytes
-from gladedrum.standins.wire_heads import CALLER_HOST
+from gladedrum.standins.request_headers import CALLER_HOST
 from gladedrum.utils import start
 
 from .history import History, Kind
