--- a/gladedrum/replay/trace.py
+++ b/gladedrum/replay/trace.py
@@ -83,32 +83,26 @@
 class Workload(NamedTuple):
     """Parameters of a random trace.
 
-        Parameters
-        ----------
-        seed : int
-            Seed of the random numbers.
-        duration_s : float
-            Duration of the trace, in seconds.
-        engines : int
-            Number of engines that `load` refers to.
-        load : float
-    <<<<<<< HEAD
-            Engine time asked for, as a share of the engine time there is.
-        traits : QueueEngineTraits
-            The engines' size and speed.
-    =======
-            Engine time that the requests need, relative to the engine time available.
-        traits : EngineTraits
-            Size and speed of an engine.
-    >>>>>>> 29e42d774b08192c8266f6af0e3680935272ac7e
-        organisations : int
-            Number of organisations; the n-th sends requests in proportion to 1/n.
-        burst_factor, burst_share : float
-            Arrival rate in a burst relative to the mean rate, and the share of time in bursts.
-        prefix_share : float
-            Share of requests whose prompt starts with one of its organisation's shared prefixes.
-        longest_tokens : int
-            Limit to which longer prompts are cut.
+    Parameters
+    ----------
+    seed : int
+        Seed of the random numbers.
+    duration_s : float
+        Duration of the trace, in seconds.
+    engines : int
+        Number of engines that `load` refers to.
+    load : float
+        Engine time that the requests need, relative to the engine time available.
+    traits : QueueEngineTraits
+        Size and speed of an engine.
+    organisations : int
+        Number of organisations; the n-th sends requests in proportion to 1/n.
+    burst_factor, burst_share : float
+        Arrival rate in a burst relative to the mean rate, and the share of time in bursts.
+    prefix_share : float
+        Share of requests whose prompt starts with one of its organisation's shared prefixes.
+    longest_tokens : int
+        Limit to which longer prompts are cut.
     """
 
     seed: int = 1
