--- a/gladedrum/entry/run.py
+++ b/gladedrum/entry/run.py
@@ -297,7 +297,7 @@
 
     def _on_target_failure(self, reservation: Reservation, exc: Exception) -> None:
         self._log.warning(
-            "target failed a request",
+            "attempt at a target failed",
             extra={"target": reservation.target.name, "reason": str(exc), "offset": self._offset},
         )
         self._failed_targets |= {reservation.target.name}
