--- a/gladedrum/replay/caller.py
+++ b/gladedrum/replay/caller.py
@@ -13,7 +13,7 @@
 
 __all__ = ["CallRecord", "Caller"]
 
-_DATA = b"data: "
+_DATA_PREFIX = b"data: "
 
 
 class CallRecord(NamedTuple):
@@ -115,8 +115,8 @@
         """Parse the complete events received so far."""
         *events, self._buffer = (self._buffer + data).split(b"\n\n")
         for event in events:
-            if event.startswith(_DATA + b"{"):
-                self._read_body(json.loads(event[len(_DATA) :]))
+            if event.startswith(_DATA_PREFIX + b"{"):
+                self._read_body(json.loads(event[len(_DATA_PREFIX) :]))
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
         """Parse a remaining JSON body and fire `ended`."""
--- a/gladedrum/replay/compare.py
+++ b/gladedrum/replay/compare.py
@@ -37,7 +37,7 @@
         Names of the policies to compare.
     fleet : LocalFleet
         Simulated engines that run the trace.
-    note : callable
+    on_policy : callable
         Called with a policy's name before its replay.
     """
     short = list(without_long(rows, LONG_PROMPT_TOKENS))
@@ -54,7 +54,7 @@
     """Return the table rows, one for each policy and prompt-length class."""
     return [
         [
-            f["policy"],
+            metrics["policy"],
             length,
             row["requests"],
             row["completed"],
@@ -64,8 +64,8 @@
             row["first_token_s"]["p95"],
             row["first_token_s"]["p99"],
         ]
-        for f in results
-        for length, row in f["by_length"].items()
+        for metrics in results
+        for length, row in metrics["by_length"].items()
     ]
 
 
@@ -73,17 +73,17 @@
     """Return the table rows, one for each policy."""
     return [
         [
-            f["policy"],
-            f["slowdown"]["p50"],
-            f["slowdown"]["p95"],
-            f["slowdown"]["p99"],
-            f["slowdown_of_p95"],
-            f["dossiers_in_time"],
-            f["late_per_admitted"],
-            f["goodput_tokens_per_s"],
-            f["fairness"],
+            metrics["policy"],
+            metrics["slowdown"]["p50"],
+            metrics["slowdown"]["p95"],
+            metrics["slowdown"]["p99"],
+            metrics["slowdown_of_p95"],
+            metrics["dossiers_in_time"],
+            metrics["late_per_admitted"],
+            metrics["goodput_tokens_per_s"],
+            metrics["fairness"],
         ]
-        for f in results
+        for metrics in results
     ]
 
 
@@ -99,19 +99,21 @@
     """
     from matplotlib.figure import Figure
 
-    lengths = sorted({length for f in results for length in f["by_length"]})
+    lengths = sorted({length for metrics in results for length in metrics["by_length"]})
     figure = Figure(figsize=(9, 4.5), layout="constrained")
     axes = figure.subplots()
     width = 0.8 / len(results)
-    for number, f in enumerate(results):
-        places = [n + number * width for n in range(len(lengths))]
+    for number, metrics in enumerate(results):
+        positions = [n + number * width for n in range(len(lengths))]
         heights = [
-            f["by_length"][length]["first_token_s"]["p95"] if length in f["by_length"] else 0
+            metrics["by_length"][length]["first_token_s"]["p95"]
+            if length in metrics["by_length"]
+            else 0
             for length in lengths
         ]
-        axes.bar(places, heights, width, label=f["policy"])
-    middle = 0.4 - width / 2
-    axes.set_xticks([n + middle for n in range(len(lengths))], lengths)
+        axes.bar(positions, heights, width, label=metrics["policy"])
+    group_centre = 0.4 - width / 2
+    axes.set_xticks([n + group_centre for n in range(len(lengths))], lengths)
     axes.set_yscale("log")
     axes.set_ylabel("time to first token, 95th percentile, s")
     axes.set_xlabel("prompt length, tokens")
--- a/gladedrum/replay/live.py
+++ b/gladedrum/replay/live.py
@@ -38,6 +38,7 @@
         Source of time.
     speed : float
         Speed-up of the replay: seconds of the trace per second of real time.
+        Deadlines are not scaled.
 
     Returns
     -------
--- a/gladedrum/replay/local.py
+++ b/gladedrum/replay/local.py
@@ -30,7 +30,7 @@
     reservation_order,
     segment_jobs,
 )
-from ..standins.engine_core import BLOCK_TOKENS, EngineCore, EngineSpec, Piece, Session
+from ..standins.engine_core import BLOCK_TOKENS, EngineCore, EngineSpec, Session, StepOutput
 from .trace import TraceRow
 
 __all__ = ["LocalFleet", "ReplayRecord", "replay_locally"]
@@ -94,6 +94,8 @@
 
 @dataclass
 class _Engine:
+    """A simulated engine and the queue that its owner keeps."""
+
     name: str
     queue: TargetQueue
     core: EngineCore
@@ -115,6 +117,8 @@
 
 @dataclass
 class _Request:
+    """A request of the trace and its progress; `granted_count` counts segments with a grant."""
+
     number: int
     row: TraceRow
     job: Job
@@ -137,7 +141,7 @@
         self._requests = [
             _Request(number, row, _make_job(number, row)) for number, row in enumerate(rows)
         ]
-        self._by_id: dict[str, _Request] = {}
+        self._request_by_job_id: dict[str, _Request] = {}
         self._unfinished = len(self._requests)
 
     def run(self) -> list[ReplayRecord]:
@@ -189,7 +193,7 @@
             _Segment(job, self._engines[name]) for job, name in zip(jobs, chosen, strict=True)
         ]
         alternatives = accepted[1:] if len(jobs) == 1 else []
-        self._by_id.update({segment.job.job_id: req for segment in req.segments})
+        self._request_by_job_id.update({segment.job.job_id: req for segment in req.segments})
         self._call_later(MESSAGE_S, lambda: self._reserve(req, alternatives))
 
     def _reserve(self, req: _Request, alternatives: list[str]) -> None:
@@ -212,7 +216,7 @@
             self._call_later(MESSAGE_S, lambda g=grant: self._on_grant(g))
 
     def _on_grant(self, grant: Grant) -> None:
-        req = self._by_id[grant.job.job_id]
+        req = self._request_by_job_id[grant.job.job_id]
         if req.record is not None:
             return
         req.segments[req.granted_count].priority = grant.priority
@@ -234,7 +238,7 @@
                 segment.job.prompt_tokens,
                 segment.job.output_tokens,
                 segment.priority,
-                _blocks(req.row, req.number) if len(req.segments) == 1 else (),
+                _block_hashes(req.row, req.number) if len(req.segments) == 1 else (),
                 start=segment.job.start_tokens,
                 hold=number + 1 < len(req.segments),
             )
@@ -254,27 +258,30 @@
         engine.stepping = False
         if engine.failed:
             return
-        for piece in engine.core.finish_step(chunks):
-            self._deliver(piece)
+        for output in engine.core.finish_step(chunks):
+            self._deliver(output)
         self._step(engine)
 
-    def _deliver(self, piece: Piece) -> None:
-        session_id = piece.session.session_id
-        req = self._by_id[session_id]
-        if piece.held:
-            number = next(n for n, p in enumerate(req.segments) if p.job.job_id == session_id)
-            self._call_later(2 * MESSAGE_S, lambda: self._on_first_token(req, number))
+    def _deliver(self, output: StepOutput) -> None:
+        session_id = output.session.session_id
+        req = self._request_by_job_id[session_id]
+        if output.held:
+            number = next(
+                n for n, segment in enumerate(req.segments) if segment.job.job_id == session_id
+            )
+            self._call_later(2 * MESSAGE_S, lambda: self._on_prefill_done(req, number))
             self._call_later(2 * MESSAGE_S, lambda: self._start_segment(req, number + 1))
             return
-        if piece.offset == 0:
+        if output.offset == 0:
             req.first_token_at_s = self._now_s + MESSAGE_S
             self._call_later(
-                2 * MESSAGE_S, lambda: self._on_first_token(req, len(req.segments) - 1)
+                2 * MESSAGE_S, lambda: self._on_prefill_done(req, len(req.segments) - 1)
             )
-        if piece.last:
+        if output.last:
             self._call_later(MESSAGE_S, lambda: self._finish(req, "completed"))
 
-    def _on_first_token(self, req: _Request, number: int) -> None:
+    def _on_prefill_done(self, req: _Request, number: int) -> None:
+        """Report the end of a segment's prefill to the queue, which grants further requests."""
         if req.record is None:
             segment = req.segments[number]
             segment.engine.queue.first_token(segment.job.job_id, self._now_s)
@@ -306,7 +313,9 @@
         for engine in self._engines.values():
             for job in engine.queue.drop_late(self._now_s):
                 self._finish(
-                    self._by_id[job.job_id], "not-run", "cannot start in time to meet the deadline"
+                    self._request_by_job_id[job.job_id],
+                    "not-run",
+                    "cannot start in time to meet the deadline",
                 )
             self._send_grants(engine)
         self._call_later(_LATE_CHECK_INTERVAL_S, self._drop_late_jobs)
@@ -349,7 +358,8 @@
     return tuple(_prefix_hash(row, number, length) for length in within)
 
 
-def _blocks(row: TraceRow, number: int) -> tuple[int, ...]:
+def _block_hashes(row: TraceRow, number: int) -> tuple[int, ...]:
+    """Return the hashes of the prompt's blocks for the engine's prefix cache."""
     ends = range(BLOCK_TOKENS, row.prompt_tokens + 1, BLOCK_TOKENS)
     return tuple(_prefix_hash(row, number, end) for end in ends)
 
--- a/gladedrum/replay/report.py
+++ b/gladedrum/replay/report.py
@@ -10,7 +10,7 @@
 from ..telemetry import length_class
 from .local import ReplayRecord
 
-__all__ = ["LengthFigures", "PolicyFigures", "Quantiles", "figures", "slowdowns"]
+__all__ = ["LengthMetrics", "PolicyFigures", "Quantiles", "figures", "slowdowns"]
 
 _US_PER_S = 1_000_000
 _MAX_VALUE_US = 3_600 * _US_PER_S
@@ -26,7 +26,7 @@
     p99: float
 
 
-class LengthFigures(TypedDict):
+class LengthMetrics(TypedDict):
     """Metrics of the requests of one prompt-length class; times in seconds."""
 
     requests: int
@@ -39,10 +39,24 @@
 class PolicyFigures(TypedDict):
     """Metrics of a replay under one policy.
 
-    ``slowdown`` is the time to first token of a short request divided by that of the same
-    request in the baseline, a replay of the same trace without long prompts.
-    ``slowdown_of_p95`` is the ratio of the two 95th percentiles instead. Dossiers are requests
-    in the longest prompt-length class.
+    Parameters
+    ----------
+    late_per_admitted : float
+        Share of the admitted requests that failed, for any reason.
+    dossiers_admitted : int
+        Number of admitted requests in the longest prompt-length class (dossiers).
+    dossiers_in_time : float
+        Share of the admitted dossiers that completed.
+    goodput_tokens_per_s : float
+        Prompt and answer tokens of the completed requests, per second of the trace.
+    fairness : float
+        Jain's fairness index over the share of each organisation's tokens that completed.
+    slowdown : Quantiles
+        Time to first token of a short request divided by that of the same request in the
+        baseline, a replay of the same trace without long prompts.
+    slowdown_of_p95 : float
+        95th percentile of the time to first token of short requests, divided by that in the
+        baseline.
     """
 
     policy: str
@@ -57,7 +71,7 @@
     fairness: float
     slowdown: Quantiles
     slowdown_of_p95: float
-    by_length: dict[str, LengthFigures]
+    by_length: dict[str, LengthMetrics]
 
 
 def quantiles(values: Iterable[float]) -> Quantiles:
@@ -67,8 +81,10 @@
         histogram.record_value(max(1, round(value * _US_PER_S)))
     if not histogram.get_total_count():
         return Quantiles(p50=0.0, p95=0.0, p99=0.0)
-    at = histogram.get_value_at_percentile
-    return Quantiles(p50=at(50) / _US_PER_S, p95=at(95) / _US_PER_S, p99=at(99) / _US_PER_S)
+    value_at = histogram.get_value_at_percentile
+    return Quantiles(
+        p50=value_at(50) / _US_PER_S, p95=value_at(95) / _US_PER_S, p99=value_at(99) / _US_PER_S
+    )
 
 
 def figures(
@@ -82,7 +98,7 @@
         Label of the metrics, usually the name of the policy.
     records : sequence of ReplayRecord
         Replay of the full trace.
-    alone : sequence of ReplayRecord
+    baseline : sequence of ReplayRecord
         Replay of the same trace without long prompts.
     """
     done = [r for r in records if r.outcome == "completed"]
@@ -90,7 +106,7 @@
     dossiers = [r for r in admitted if length_class(r.row.prompt_tokens) == _DOSSIER_CLASS]
     in_time = sum(r.outcome == "completed" for r in dossiers)
     duration_s = max((r.row.arrival_s for r in records), default=1.0)
-    work = sum(r.row.prompt_tokens + r.row.output_tokens for r in done)
+    completed_tokens = sum(r.row.prompt_tokens + r.row.output_tokens for r in done)
     ratios = slowdowns(records, baseline)
     p95_full, p95_baseline = _short_p95(records), _short_p95(baseline)
     return PolicyFigures(
@@ -102,7 +118,7 @@
         late_per_admitted=(len(admitted) - len(done)) / max(1, len(admitted)),
         dossiers_admitted=len(dossiers),
         dossiers_in_time=in_time / max(1, len(dossiers)),
-        goodput_tokens_per_s=work / duration_s,
+        goodput_tokens_per_s=completed_tokens / duration_s,
         fairness=_fairness(records),
         slowdown=quantiles(ratios),
         slowdown_of_p95=p95_full / p95_baseline if p95_baseline else 0.0,
@@ -149,12 +165,12 @@
     return min(record.row.prompt_tokens for record in item[1])
 
 
-def _by_length(records: Iterable[ReplayRecord]) -> dict[str, LengthFigures]:
+def _by_length(records: Iterable[ReplayRecord]) -> dict[str, LengthMetrics]:
     groups: defaultdict[str, list[ReplayRecord]] = defaultdict(list)
     for record in records:
         groups[length_class(record.row.prompt_tokens)].append(record)
     return {
-        name: LengthFigures(
+        name: LengthMetrics(
             requests=len(group),
             completed=sum(r.outcome == "completed" for r in group),
             not_run=sum(r.outcome == "not-run" for r in group),
--- a/gladedrum/replay/tests/test_replay.py
+++ b/gladedrum/replay/tests/test_replay.py
@@ -21,8 +21,8 @@
 
 def test_default_workload_has_the_specified_prompt_lengths():
     rows = make_trace(Workload(duration_s=2_000, engines=18))
-    over = sum(r.prompt_tokens > 100_000 for r in rows) / len(rows)
-    assert 0.015 < over < 0.025
+    long_share = sum(r.prompt_tokens > 100_000 for r in rows) / len(rows)
+    assert 0.015 < long_share < 0.025
     assert min(r.prompt_tokens for r in rows) >= 1_000
     assert 900_000 < max(r.prompt_tokens for r in rows) <= 1_000_000
 
@@ -55,13 +55,16 @@
 
 
 def test_fair_slack_has_the_lowest_first_token_time_for_short_prompts():
-    found = {f["policy"]: f for f in compare_locally(make_trace(_WORKLOAD), policy_names(), _FLEET)}
-    own = found.pop("fair_slack")
-    for other in found.values():
+    by_policy = {
+        metrics["policy"]: metrics
+        for metrics in compare_locally(make_trace(_WORKLOAD), policy_names(), _FLEET)
+    }
+    fair_slack = by_policy.pop("fair_slack")
+    for other in by_policy.values():
         for length in ("under-4k",):
-            own_p95 = own["by_length"][length]["first_token_s"]["p95"]
-            assert own_p95 < other["by_length"][length]["first_token_s"]["p95"]
-        assert own["completed"] >= other["completed"]
+            fair_slack_p95 = fair_slack["by_length"][length]["first_token_s"]["p95"]
+            assert fair_slack_p95 < other["by_length"][length]["first_token_s"]["p95"]
+        assert fair_slack["completed"] >= other["completed"]
 
 
 def test_every_request_ends_when_half_the_engines_fail():
--- a/gladedrum/replay/trace.py
+++ b/gladedrum/replay/trace.py
@@ -64,7 +64,17 @@
 
 
 class LengthBand(NamedTuple):
-    """A class of requests, its share and its ranges of lengths, drawn log-uniformly."""
+    """A class of requests.
+
+    Parameters
+    ----------
+    request_class : str
+        Name of the class.
+    share : float
+        Share of all requests.
+    prompt_tokens, output_tokens : tuple of int
+        Ranges of the lengths of prompts and answers, which are drawn log-uniformly.
+    """
 
     request_class: str
     share: float
@@ -83,32 +93,26 @@
 class Workload(NamedTuple):
     """Parameters of a random trace.
 
-        Parameters
-        ----------
-        seed : int
-            Seed of the random numbers.
-        duration_s : float
-            Duration of the trace, in seconds.
-        engines : int
-            Number of engines that `load` refers to.
-        load : float
-    <<<<<<< HEAD
-            Engine time asked for, as a share of the engine time there is.
-        traits : QueueEngineTraits
-            The engines' size and speed.
-    =======
-            Engine time that the requests need, relative to the engine time available.
-        traits : EngineTraits
-            Size and speed of an engine.
-    >>>>>>> 29e42d774b08192c8266f6af0e3680935272ac7e
-        organisations : int
-            Number of organisations; the n-th sends requests in proportion to 1/n.
-        burst_factor, burst_share : float
-            Arrival rate in a burst relative to the mean rate, and the share of time in bursts.
-        prefix_share : float
-            Share of requests whose prompt starts with one of its organisation's shared prefixes.
-        longest_tokens : int
-            Limit to which longer prompts are cut.
+    Parameters
+    ----------
+    seed : int
+        Seed of the random numbers.
+    duration_s : float
+        Duration of the trace, in seconds.
+    engines : int
+        Number of engines that `load` refers to.
+    load : float
+        Prefill time of the requests, relative to the engine time available.
+    traits : QueueEngineTraits
+        Size and speed of an engine.
+    organisations : int
+        Number of organisations; the n-th sends requests in proportion to 1/n.
+    burst_factor, burst_share : float
+        Arrival rate in a burst relative to the mean rate, and the share of time in bursts.
+    prefix_share : float
+        Share of requests whose prompt starts with one of its organisation's shared prefixes.
+    longest_tokens : int
+        Limit to which longer prompts are cut.
     """
 
     seed: int = 1
@@ -128,12 +132,13 @@
 _DEADLINE_BASE_S = 20.0
 _DEADLINE_S_PER_TOKEN = 0.0015
 _MEAN_SAMPLES = 20_000
+"""Number of samples for the estimate of the mean prefill time."""
 
 
 def make_trace(workload: Workload) -> list[TraceRow]:
     """Draw a trace; the same workload always gives the same trace."""
     rng = random.Random(workload.seed)
-    rate_per_s = workload.load * workload.engines / _mean_engine_seconds(workload)
+    rate_per_s = workload.load * workload.engines / _mean_prefill_s(workload)
     rows = []
     now_s = 0.0
     while True:
@@ -143,7 +148,7 @@
         rows.append(_draw_row(workload, rng, now_s))
 
 
-def _mean_engine_seconds(workload: Workload) -> float:
+def _mean_prefill_s(workload: Workload) -> float:
     rng = random.Random(0)
     total_s = 0.0
     for _ in range(_MEAN_SAMPLES):
@@ -154,9 +159,10 @@
 
 def _burst_factor(workload: Workload, now_s: float) -> float:
     period_s = _BURST_DURATION_S / workload.burst_share
-    calm = (1 - workload.burst_share * workload.burst_factor) / (1 - workload.burst_share)
+    # The factors in and outside of bursts average to 1.
+    calm_factor = (1 - workload.burst_share * workload.burst_factor) / (1 - workload.burst_share)
     in_burst = now_s % period_s >= period_s - _BURST_DURATION_S
-    return workload.burst_factor if in_burst else calm
+    return workload.burst_factor if in_burst else calm_factor
 
 
 def _draw_lengths(rng: random.Random) -> tuple[LengthBand, int, int]:
@@ -172,8 +178,8 @@
 def _draw_row(workload: Workload, rng: random.Random, now_s: float) -> TraceRow:
     band, prompt_tokens, output_tokens = _draw_lengths(rng)
     prompt_tokens = min(prompt_tokens, workload.longest_tokens)
-    numbers = range(1, workload.organisations + 1)
-    number = rng.choices(numbers, [1 / n for n in numbers])[0]
+    organisation_numbers = range(1, workload.organisations + 1)
+    number = rng.choices(organisation_numbers, [1 / n for n in organisation_numbers])[0]
     prefix, prefix_tokens = "", 0
     if rng.random() < workload.prefix_share:
         index = rng.randrange(_PREFIXES_PER_ORGANISATION)
--- a/gladedrum/standins/engine.py
+++ b/gladedrum/standins/engine.py
@@ -1,9 +1,10 @@
 """Stand-in for a model engine: `engine_core` behind an OpenAI-compatible HTTP interface.
 
 Besides ``POST /v1/completions`` it lists, resumes and cancels sessions, exports and imports
-KV cache blocks, and loads and unloads models by order. Its load reports lag, and its cache
-events can be late or missing. Orders carry a fence (a fencing token). ``POST /switches``
-injects failures while it runs.
+KV cache blocks, and loads and unloads models. Its load reports lag, and its cache events can be
+late or missing. The orders that load and unload models carry a fencing token (``fence``); an order
+with a lower one than an earlier order is refused. ``POST /switches`` injects failures while it
+runs.
 """
 
 import argparse
@@ -17,7 +18,7 @@
 
 from ..utils import LostAnswerError, NotSentError, WebClient
 from ._http import json_body, json_reply, run_standin
-from .engine_core import BLOCK_TOKENS, EngineCore, EngineSpec, MemoryFullError, Piece, Session
+from .engine_core import BLOCK_TOKENS, EngineCore, EngineSpec, MemoryFullError, Session, StepOutput
 
 __all__ = ["Engine", "Switches", "answer_token"]
 
@@ -84,13 +85,13 @@
     """The answer of a session, kept for some time after its end so that it can be resumed."""
 
     session: Session
-    text: str
+    prompt: str
     seed: str
     buffered: bool
     listener: Request | None = None
     produced: int = 0
     sent: int = 0
-    last: bool = False
+    is_complete: bool = False
 
     def listen(self, request: Request) -> None:
         """Send all further tokens to `request`."""
@@ -129,7 +130,7 @@
         self._web = WebClient(reactor)
         self._answers: dict[str, _Answer] = {}
         self._step_call = None
-        self._loads: list[tuple[float, dict]] = []
+        self._load_samples: list[tuple[float, dict]] = []
         self._sampler = task.LoopingCall(self._sample_load)
         self._sampler.clock = clock
         self._sampler.start(0.1)
@@ -185,7 +186,7 @@
         answer = self._answers.get(session_id)
         if answer is None or not answer.session.is_held:
             return json_reply(request, {"error": "no such held session"}, 404)
-        return json_reply(request, {"text": answer.text})
+        return json_reply(request, {"text": answer.prompt})
 
     @app.route("/sessions/<session_id>/stream", methods=["GET"])
     def resume(self, request: Request, session_id: str):
@@ -197,9 +198,9 @@
         answer.buffered = False
         answer.listen(request)
         _start_stream(request)
-        for at in range(offset, answer.produced):
-            last = answer.last and at == answer.produced - 1
-            self._write(answer, Piece(answer.session, at, last))
+        for position in range(offset, answer.produced):
+            last = answer.is_complete and position == answer.produced - 1
+            self._write(answer, StepOutput(answer.session, position, last))
         return defer.Deferred()
 
     @app.route("/sessions", methods=["GET"])
@@ -237,8 +238,8 @@
     def load(self, request: Request) -> bytes:
         """Return the load as it was `load_lag_s` seconds ago."""
         visible_until_s = self._clock.seconds() - self.switches.load_lag_s
-        known = [load for at_s, load in self._loads if at_s <= visible_until_s]
-        return json_reply(request, known[-1] if known else self._load())
+        known = [load for at_s, load in self._load_samples if at_s <= visible_until_s]
+        return json_reply(request, known[-1] if known else self._current_load())
 
     @app.route("/cache/events", methods=["GET"])
     def cache_events(self, request: Request) -> bytes:
@@ -255,7 +256,7 @@
 
     @app.route("/kv/export", methods=["POST"])
     def export_kv(self, request: Request) -> bytes:
-        """Export the cached blocks of a prompt under an id and an owner."""
+        """Export those of the named blocks that are cached, under an id and an owner."""
         body = json_body(request)
         blocks = [b for b in body["blocks"] if b in self.core.cache]
         self.exports[body["id"]] = {"blocks": blocks, "owner": body.get("owner", "")}
@@ -306,7 +307,7 @@
 
     # Load samples and engine steps.
 
-    def _load(self) -> dict:
+    def _current_load(self) -> dict:
         factor = self.switches.load_factor
         return {
             "free_tokens": int(self.core.free_tokens * factor),
@@ -318,10 +319,10 @@
 
     def _sample_load(self) -> None:
         now_s = self._clock.seconds()
-        self._loads.append((now_s, self._load()))
+        self._load_samples.append((now_s, self._current_load()))
         oldest_s = now_s - max(10.0, self.switches.load_lag_s)
-        while self._loads[0][0] < oldest_s:
-            self._loads.pop(0)
+        while self._load_samples[0][0] < oldest_s:
+            self._load_samples.pop(0)
 
     def _schedule_step(self) -> None:
         if self._step_call is not None and self._step_call.active():
@@ -332,42 +333,42 @@
             self._step_call = self._clock.callLater(duration_s, self._finish_step, chunks)
 
     def _finish_step(self, chunks: list[tuple[Session, int]]) -> None:
-        for piece in self.core.finish_step(chunks):
-            self._deliver(piece)
+        for output in self.core.finish_step(chunks):
+            self._deliver(output)
         self._schedule_step()
 
-    def _deliver(self, piece: Piece) -> None:
-        answer = self._answers.get(piece.session.session_id)
+    def _deliver(self, output: StepOutput) -> None:
+        answer = self._answers.get(output.session.session_id)
         if answer is None:
             return
-        if piece.held:
+        if output.held:
             if answer.listener is not None:
-                event = {"id": piece.session.session_id, "held": True}
+                event = {"id": output.session.session_id, "held": True}
                 answer.listener.write(b"data: " + json.dumps(event).encode() + b"\n\n")
             return
-        answer.produced = piece.offset + 1
-        answer.last = piece.last
-        if piece.last:
+        answer.produced = output.offset + 1
+        answer.is_complete = output.last
+        if output.last:
             self._clock.callLater(
-                _ANSWER_RETENTION_S, self._answers.pop, piece.session.session_id, None
+                _ANSWER_RETENTION_S, self._answers.pop, output.session.session_id, None
             )
         if self.switches.silent or answer.listener is None:
             return
         if answer.buffered:
-            if piece.last:
+            if output.last:
                 _send_buffered(answer)
             return
-        self._write(answer, piece)
+        self._write(answer, output)
 
-    def _write(self, answer: _Answer, piece: Piece) -> None:
+    def _write(self, answer: _Answer, output: StepOutput) -> None:
         if answer.listener is None:
             return
         answer.sent += 1
-        answer.listener.write(_encode_event(answer, piece, self.switches.crossed))
+        answer.listener.write(_encode_event(answer, output, self.switches.crossed))
         if self.switches.break_after_tokens and answer.sent >= self.switches.break_after_tokens:
             answer.listener.transport.abortConnection()
             answer.listener = None
-        elif piece.last:
+        elif output.last:
             answer.listener.write(_DONE)
             answer.listener.finish()
 
@@ -393,28 +394,28 @@
     for end in ends:
         digest.update(raw[end - _BLOCK_BYTES : end])
         blocks.append(int.from_bytes(digest.digest()[:8], "big"))
-    label = body.get("session", {})
+    session_fields = body.get("session", {})
     return Session(
-        session_id=label.get("id") or f"anonymous-{id(body)}",
+        session_id=session_fields.get("id") or f"anonymous-{id(body)}",
         prompt_tokens=max(1, -(-len(raw) // BYTES_PER_TOKEN)),
-        output_tokens=0 if label.get("hold") else max(1, int(body.get("max_tokens", 16))),
+        output_tokens=0 if session_fields.get("hold") else max(1, int(body.get("max_tokens", 16))),
         priority=int(body.get("priority", 0)),
         blocks=tuple(blocks),
-        offset=int(label.get("offset", 0)),
-        owner=label.get("owner", ""),
-        start=int(label.get("start", 0)),
-        hold=bool(label.get("hold", False)),
+        offset=int(session_fields.get("offset", 0)),
+        owner=session_fields.get("owner", ""),
+        start=int(session_fields.get("start", 0)),
+        hold=bool(session_fields.get("hold", False)),
     )
 
 
-def _encode_event(answer: _Answer, piece: Piece, crossed: bool) -> bytes:
+def _encode_event(answer: _Answer, output: StepOutput, crossed: bool) -> bytes:
     choice = {
-        "text": answer_token(answer.seed, piece.offset),
+        "text": answer_token(answer.seed, output.offset),
         "index": 0,
-        "finish_reason": "length" if piece.last else None,
+        "finish_reason": "length" if output.last else None,
     }
-    name = "someone-else" if crossed else piece.session.session_id
-    body = {"id": name, "offset": piece.offset, "choices": [choice]}
+    name = "someone-else" if crossed else output.session.session_id
+    body = {"id": name, "offset": output.offset, "choices": [choice]}
     return b"data: " + json.dumps(body, separators=(",", ":")).encode() + b"\n\n"
 
 
--- a/gladedrum/standins/engine_core.py
+++ b/gladedrum/standins/engine_core.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-__all__ = ["BLOCK_TOKENS", "EngineCore", "EngineSpec", "MemoryFullError", "Piece", "Session"]
+__all__ = ["BLOCK_TOKENS", "EngineCore", "EngineSpec", "MemoryFullError", "Session", "StepOutput"]
 
 BLOCK_TOKENS = 512
 """Length of a block of the prefix cache, in tokens."""
@@ -76,6 +76,14 @@
         Position of the prompt in a longer one whose earlier segments other engines hold.
     hold : bool
         True to prefill the prompt only and keep it for other engines to read.
+    arrival_number : int
+        Rank among sessions of equal priority, set by `EngineCore.submit`.
+    prefilled : int
+        Number of tokens prefilled so far, including those found in the prefix cache.
+    emitted : int
+        Number of answer tokens produced so far, including those before `offset`.
+    running : bool
+        True once the session is in the batch and uses memory.
     """
 
     session_id: str
@@ -87,7 +95,7 @@
     owner: str = ""
     start: int = 0
     hold: bool = False
-    order: int = 0
+    arrival_number: int = 0
     prefilled: int = 0
     emitted: int = 0
     running: bool = False
@@ -108,8 +116,20 @@
         return self.prompt_tokens + self.offset
 
 
-class Piece(NamedTuple):
-    """One answer token, or, if `held`, the end of the prefill of a session with `hold`."""
+class StepOutput(NamedTuple):
+    """One answer token, or the end of the prefill of a session with `hold`.
+
+    Parameters
+    ----------
+    session : Session
+        Session that produced the token.
+    offset : int
+        Position of the token in the answer.
+    last : bool
+        True for the last token of the answer.
+    held : bool
+        True for the end of a held prefill, which has no token.
+    """
 
     session: Session
     offset: int
@@ -125,13 +145,19 @@
     ----------
     spec : EngineSpec
         Size and speed.
+    sessions : dict of str to Session
+        Queued and running sessions by id.
+    cache : OrderedDict of int to None
+        Hashes of the cached prompt blocks, the least recently used first.
+    cache_log : list of tuple
+        Changes of the cache: ``stored`` or ``removed``, and the hash of the block.
     """
 
     spec: EngineSpec = field(default_factory=EngineSpec)
     sessions: dict[str, Session] = field(default_factory=dict)
     cache: OrderedDict[int, None] = field(default_factory=OrderedDict)
     cache_log: list[tuple[str, int]] = field(default_factory=list)
-    _order_numbers: Iterable[int] = field(default_factory=itertools.count)
+    _arrival_numbers: Iterable[int] = field(default_factory=itertools.count)
 
     @property
     def reserved_tokens(self) -> int:
@@ -160,7 +186,7 @@
             raise MemoryFullError(
                 f"{session.memory_tokens} tokens do not fit into {self.spec.memory_tokens}"
             )
-        session.order = next(self._order_numbers)
+        session.arrival_number = next(self._arrival_numbers)
         session.emitted = session.offset
         self.sessions[session.session_id] = session
 
@@ -179,7 +205,7 @@
         """
         by_priority = sorted(
             (s for s in self.sessions.values() if not s.is_held),
-            key=lambda s: (s.priority, s.order),
+            key=lambda s: (s.priority, s.arrival_number),
         )
         self._admit(by_priority)
         if not any(s.running for s in by_priority):
@@ -199,7 +225,7 @@
                 break
         return duration_s, chunks
 
-    def finish_step(self, chunks: list[tuple[Session, int]]) -> list[Piece]:
+    def finish_step(self, chunks: list[tuple[Session, int]]) -> list[StepOutput]:
         """Apply a planned step and return the tokens that it produced."""
         decoding = [
             s
@@ -216,15 +242,15 @@
                 decoding.append(session)
         return [self._emit(session) for session in decoding]
 
-    def _emit(self, session: Session) -> Piece:
+    def _emit(self, session: Session) -> StepOutput:
         if session.hold:
-            return Piece(session, 0, last=False, held=True)
+            return StepOutput(session, 0, last=False, held=True)
         offset = session.emitted
         session.emitted += 1
         last = session.emitted >= session.output_tokens
         if last:
             del self.sessions[session.session_id]
-        return Piece(session, offset, last)
+        return StepOutput(session, offset, last)
 
     def _admit(self, by_priority: list[Session]) -> None:
         free = self.free_tokens
--- a/gladedrum/standins/operator.py
+++ b/gladedrum/standins/operator.py
@@ -11,15 +11,15 @@
 CONFIGURATION_KEY = wire.CONFIGURATION_KEY
 """Store key of the current configuration."""
 
-_MS = 1000
-"""Milliseconds per second, for the configuration's time fields."""
+_MS_PER_S = 1000
+"""For the configuration's time fields, which are in milliseconds."""
 
 
 def configuration_bytes(table: RouteTable) -> bytes:
     """Return `table` encoded as the operator's JSON configuration."""
-    keys: dict[str, list[str]] = {}
+    keys_by_organisation: dict[str, list[str]] = {}
     for key, organisation in table.organisations.items():
-        keys.setdefault(organisation.name, []).append(key)
+        keys_by_organisation.setdefault(organisation.name, []).append(key)
     return json.dumps(
         {
             "version": table.version,
@@ -28,12 +28,15 @@
                 {"name": service.name, **_engine(service.engine)}
                 for service in table.services.values()
             ],
-            "tenants": [{"name": name, "apiKeys": held} for name, held in keys.items()],
+            "tenants": [
+                {"name": name, "apiKeys": api_keys}
+                for name, api_keys in keys_by_organisation.items()
+            ],
             "limits": {
                 "maxHeaderBytes": table.limits.header_bytes,
                 "maxBodyBytes": table.limits.body_bytes,
-                "headerTimeoutMs": table.limits.header_time_s * _MS,
-                "idleTimeoutMs": table.limits.idle_time_s * _MS,
+                "headerTimeoutMs": table.limits.header_time_s * _MS_PER_S,
+                "idleTimeoutMs": table.limits.idle_time_s * _MS_PER_S,
             },
         }
     ).encode()
@@ -47,9 +50,9 @@
         "pathPrefix": route.path_prefix,
         "kind": kind,
         "resumable": route.resumable,
-        "timeoutMs": route.time_limit_s * _MS,
-        "latencyTargetMs": route.objective_s * _MS,
-        "gap_aim_ms": route.pause_objective_s * _MS,
+        "timeoutMs": route.time_limit_s * _MS_PER_S,
+        "latencyTargetMs": route.objective_s * _MS_PER_S,
+        "gap_aim_ms": route.pause_objective_s * _MS_PER_S,
         "priority": route.rank,
         "maxAttempts": route.max_targets,
         "allowAnonymous": route.anonymous,
@@ -66,14 +69,14 @@
         "slots": traits.slots,
         "kvCapacityTokens": traits.memory_tokens,
         "stride": traits.stride,
-        "step_ms": traits.step_s * _MS,
-        "per_seq_ms": traits.per_writer_s * _MS,
-        "context_per_k": traits.per_context_token_s * _MS * 1000,
+        "step_ms": traits.step_s * _MS_PER_S,
+        "per_seq_ms": traits.per_writer_s * _MS_PER_S,
+        "context_per_k": traits.per_context_token_s * _MS_PER_S * 1000,
         "read_per_s": traits.read_tokens_per_s,
-        "pairs_per_m": traits.per_pair_s * _MS * 1e6,
+        "pairs_per_m": traits.per_pair_s * _MS_PER_S * 1e6,
         "chunk": traits.chunk,
-        "report_lag_ms": traits.report_lag_s * _MS,
-        "hop_ms": traits.hop_s * _MS,
+        "report_lag_ms": traits.report_lag_s * _MS_PER_S,
+        "hop_ms": traits.hop_s * _MS_PER_S,
         "usual": {"answer": traits.usual_answer},
     }
     return {"engine": engine}
--- a/gladedrum/standins/request_headers.py
+++ b/gladedrum/standins/request_headers.py
@@ -20,7 +20,7 @@
     ----------
     request_id : str
         Id of the request.
-    limit_s : float
+    timeout_s : float
         Time that the caller waits for the answer, in seconds.
     key : str
         API key of the caller.
--- a/gladedrum/standins/service.py
+++ b/gladedrum/standins/service.py
@@ -36,7 +36,7 @@
 
     @app.route("/switches", methods=["POST"])
     def set_switches(self, request: Request) -> bytes:
-        """Change ``delay_s`` and ``lose_answers``."""
+        """Change ``delay_s`` and ``lose_answers`` (abort the connection after each call)."""
         body = json_body(request)
         self.delay_s = body.get("delay_s", self.delay_s)
         self.lose_answers = body.get("lose_answers", self.lose_answers)
--- a/gladedrum/standins/store.py
+++ b/gladedrum/standins/store.py
@@ -2,7 +2,8 @@
 
 Keys have revisions, may belong to a lease and can be watched by prefix. ``POST /switches`` injects
 failures: outages, delays, rate limits, hanging calls, writes whose answer is lost, compacted
-history, and a restore from an earlier snapshot.
+history, and a restore from an earlier snapshot. Every answer names the store's era, a number that
+grows with each restore, since revisions of different eras cannot be compared.
 """
 
 import base64
@@ -65,6 +66,8 @@
 
 @dataclass
 class _Entry:
+    """The current value of a key; `lease` is 0 if the key belongs to none."""
+
     value: bytes
     revision: int
     created_revision: int
@@ -86,11 +89,11 @@
     """A token bucket with a capacity of one second of calls."""
 
     tokens: float = 0.0
-    at_s: float = float("-inf")
+    updated_at_s: float = float("-inf")
 
     def take(self, now_s: float, per_s: float) -> bool:
-        self.tokens = min(per_s, self.tokens + (now_s - self.at_s) * per_s)
-        self.at_s = now_s
+        self.tokens = min(per_s, self.tokens + (now_s - self.updated_at_s) * per_s)
+        self.updated_at_s = now_s
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -99,7 +102,11 @@
 
 @dataclass
 class _CallCounters:
-    """Numbers of calls, for ``GET /calls``, and the token buckets of the rate limits."""
+    """Numbers of calls, for ``GET /calls``, and the token buckets of the rate limits.
+
+    Lease calls consume tokens, but count neither as reads nor as writes. `refused` counts the
+    calls above a rate limit.
+    """
 
     reads: int = 0
     writes: int = 0
@@ -119,7 +126,9 @@
         self._clock = clock
         self._revision = 1
         self._entries: dict[str, _Entry] = {}
+        # Key, new entry (None if the key was removed) and revision of each change.
         self._history: list[tuple[str, _Entry | None, int]] = []
+        # Duration and end of each lease, in seconds.
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 1
         self.era = 1
@@ -169,8 +178,9 @@
         if refusal is not None:
             return refusal
         self.calls.reads += 1
-        prefix, after = _query(request, "pathPrefix"), _query(request, "afterRevision")
-        keys = sorted(k for k in self._entries if k.startswith(prefix) and k > after)
+        # Despite its name, `afterRevision` is the last key of the previous page here.
+        prefix, after_key = _query(request, "pathPrefix"), _query(request, "afterRevision")
+        keys = sorted(k for k in self._entries if k.startswith(prefix) and k > after_key)
         rows = [_row(key, self._entries[key]) for key in keys[:PAGE_ITEMS]]
         more = len(keys) > PAGE_ITEMS
         return self._reply(request, {"items": rows, "more": more, "at": self._revision})
@@ -268,7 +278,7 @@
 
     @app.route("/calls", methods=["GET"])
     def count_calls(self, request: Request) -> bytes:
-        """Return the numbers of reads, writes and refused calls."""
+        """Return the numbers of reads, writes and calls above a rate limit."""
         counts = {"reads": self.calls.reads, "writes": self.calls.writes}
         return self._reply(request, {**counts, "refused": self.calls.refused})
 
@@ -317,6 +327,7 @@
             request.transport.abortConnection()
 
     async def _admit(self, request: Request, bucket: _TokenBucket, per_s: float) -> bytes | None:
+        """Apply the switches to a call; return the refusal, or None if the call may proceed."""
         if self.switches.silent:
             await defer.Deferred()
         if self.switches.outage:
--- a/gladedrum/standins/target.py
+++ b/gladedrum/standins/target.py
@@ -1,7 +1,8 @@
 """Stand-in for a target of the users' platform: an engine, or a plain service.
 
-It maintains its entry in the store's list of targets, serves plain requests and event streams,
-reserves memory by order, and logs what happens as JSON lines on standard output.
+It maintains its entry in the store's list of targets, serves requests with a plain answer or an
+event stream, and logs what happens as JSON lines on standard output. Boxes send it orders to
+reserve memory or to release a reservation.
 
 The query of a request selects the answer: ``events`` (number of events in a stream; 0 for a plain
 answer), ``pause_ms`` (delay before each event or the answer) and ``ends`` (1: the process exits
@@ -164,14 +165,14 @@
         """Return the load and the reservations."""
         self._log("reported")
         self._set_status_headers(request)
-        rows = [
-            {"id": name, "tokens": row.tokens, "state": "held"}
-            for name, row in self._memory.active().items()
+        tickets = [
+            {"id": reservation_id, "tokens": reservation.tokens, "state": "held"}
+            for reservation_id, reservation in self._memory.active().items()
         ]
         body = {
             "waiting": self._slots.waiting, "running": self._slots.running, "pace": 1.0,
-            "kvUsed": sum(row["tokens"] for row in rows), "kvTotal": self._memory.tokens,
-            "tickets": rows, "born": self._entry.born,
+            "kvUsed": sum(ticket["tokens"] for ticket in tickets), "kvTotal": self._memory.tokens,
+            "tickets": tickets, "born": self._entry.start_ms,
         }  # fmt: skip
         return json_reply(request, body)
 
--- a/gladedrum/standins/target_entry.py
+++ b/gladedrum/standins/target_entry.py
@@ -16,7 +16,7 @@
 """Duration of the lease, in heartbeats."""
 
 RETRY_S = 0.1
-"""Delay before a failed write of a leaving target is retried, in seconds."""
+"""Delay before a leaving target retries a failed write or removal of its entry, in seconds."""
 
 _STORE_ERRORS = (KVUnavailableError, KVUnknownError, KVConflictError)
 
@@ -50,11 +50,13 @@
     ):
         self._store = store
         self._key = wire.TARGETS_PREFIX + name
+        # The platform's field names: "zone" is the data hall, "born" the start of the process.
         self._fields = {
             "service": service, "address": address, "zone": data_hall, "version": "v1",
             "slots": slots, "coldLeftMs": 0, "born": int(time.time() * 1000),
         }  # fmt: skip
-        self.born = self._fields["born"]
+        # Start of the target's process, in milliseconds since the epoch.
+        self.start_ms = self._fields["born"]
         self._heartbeat_s = heartbeat_s
         self._state = "ready"
         self._sequence = 0
@@ -77,7 +79,7 @@
         self._stopped = True
 
     async def announce_leaving(self) -> None:
-        """Write that the target leaves; return when the store has confirmed the write."""
+        """Set the entry's state to "draining"; return when the store has confirmed the write."""
         self._state = "draining"
         while not await self._write():
             await sleep(RETRY_S)
--- a/gladedrum/standins/target_memory.py
+++ b/gladedrum/standins/target_memory.py
@@ -19,7 +19,7 @@
     """
 
     tokens: int
-    ends_s: float
+    expires_at_s: float
 
 
 class TargetMemory:
@@ -33,23 +33,31 @@
 
     def __init__(self, tokens: int):
         self.tokens = tokens
-        self._rows: dict[str, Reservation] = {}
+        self._reservations: dict[str, Reservation] = {}
 
     def active(self) -> dict[str, Reservation]:
         """Return the reservations that have not expired, by id."""
         now_s = time.monotonic()
-        self._rows = {name: row for name, row in self._rows.items() if row.ends_s > now_s}
-        return self._rows
-
-    def free_excluding(self, name: str) -> int:
-        """Return the number of free tokens, without counting reservation `name` as used."""
-        others = sum(row.tokens for other, row in self.active().items() if other != name)
+        self._reservations = {
+            reservation_id: reservation
+            for reservation_id, reservation in self._reservations.items()
+            if reservation.expires_at_s > now_s
+        }
+        return self._reservations
+
+    def free_excluding(self, reservation_id: str) -> int:
+        """Return the number of free tokens; the tokens of `reservation_id` count as free."""
+        others = sum(
+            reservation.tokens
+            for other_id, reservation in self.active().items()
+            if other_id != reservation_id
+        )
         return self.tokens - others
 
-    def reserve(self, name: str, tokens: int, hold_s: float) -> None:
-        """Reserve memory for `hold_s` seconds; replaces an earlier reservation `name`."""
-        self._rows[name] = Reservation(tokens, time.monotonic() + hold_s)
+    def reserve(self, reservation_id: str, tokens: int, hold_s: float) -> None:
+        """Reserve memory for `hold_s` seconds; replaces a reservation with the same id."""
+        self._reservations[reservation_id] = Reservation(tokens, time.monotonic() + hold_s)
 
-    def release(self, name: str) -> None:
-        """Release reservation `name`, if it exists."""
-        self._rows.pop(name, None)
+    def release(self, reservation_id: str) -> None:
+        """Release a reservation, if it exists."""
+        self._reservations.pop(reservation_id, None)
--- a/gladedrum/standins/tests/test_engine_core.py
+++ b/gladedrum/standins/tests/test_engine_core.py
@@ -13,8 +13,8 @@
     while (step := core.begin_step()) is not None:
         duration_s, chunks = step
         now_s += duration_s
-        for piece in core.finish_step(chunks):
-            firsts.setdefault(piece.session.session_id, now_s)
+        for output in core.finish_step(chunks):
+            firsts.setdefault(output.session.session_id, now_s)
     return firsts
 
 
--- a/gladedrum/standins/tests/test_target.py
+++ b/gladedrum/standins/tests/test_target.py
@@ -1,4 +1,4 @@
-"""A target with held answers stays responsive, resumes, and logs streams that callers close."""
+"""A target with held answers stays responsive, resumes, and logs streams that its peers close."""
 
 import io
 import json
