--- a/gladedrum/standins/store.py
+++ b/gladedrum/standins/store.py
@@ -39,7 +39,7 @@
     silent : bool
         Accept calls without executing or answering them.
     delay_s : float
-        Delay of every answer, in seconds.
+        Delay before an admitted call is executed, in seconds.
     lose_answers : int
         Number of next writes that take effect without an answer.
     forget_before : int
