--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from benchmarks.measure import save
-from gladedrum.replay import LocalFleet, PolicyFigures, Workload, compare_locally, make_trace
+from gladedrum.replay import LocalFleet, PolicyMetrics, Workload, compare_locally, make_trace
 from gladedrum.scheduling import policy_names
 
 _ENGINES = 18
@@ -40,7 +40,7 @@
 )
 
 
-def _run(pair: tuple[Case, str]) -> PolicyFigures:
+def _run(pair: tuple[Case, str]) -> PolicyMetrics:
     case, policy = pair
     fleet = LocalFleet(_ENGINES, lost_engines=case.lost_engines, lost_at_s=_LOST_AT_S)
     return compare_locally(make_trace(case.workload), [policy], fleet)[0]
--- a/gladedrum/ctl/traces.py
+++ b/gladedrum/ctl/traces.py
@@ -12,13 +12,13 @@
     compare_locally,
     comparison_rows,
     draw_comparison,
-    figures,
     make_trace,
     read_trace,
     replay_live,
+    replay_metrics,
     write_trace,
 )
-from ..replay.compare import HEADING, SUMMARY_HEADING, summary_rows
+from ..replay.compare import COMPARISON_HEADING, SUMMARY_HEADING, summary_rows
 from ..scheduling import QueueEngineTraits, policy, policy_names
 from ..standins.engine_core import EngineSpec
 from .command import Command, ExitCode, print_json, print_table
@@ -111,7 +111,7 @@
     rows = read_trace(args.trace)
     urls = args.callers or ["http://127.0.0.1:8080"]
     records = await replay_live(rows, urls, args.model, reactor, args.speed)
-    results = [figures("live", records, [])]
+    results = [replay_metrics("live", records, [])]
     _show(args, results)
     failed = any(record.outcome == "failed" for record in records)
     return ExitCode.FAILED if failed else ExitCode.OK
@@ -121,7 +121,7 @@
     if args.json:
         print_json(results)
         return
-    print_table(HEADING, comparison_rows(results))
+    print_table(COMPARISON_HEADING, comparison_rows(results))
     print()
     print_table(SUMMARY_HEADING, summary_rows(results))
 
--- a/gladedrum/platform/tests/test_store.py
+++ b/gladedrum/platform/tests/test_store.py
@@ -154,7 +154,7 @@
         while not self.service._watches:
             await sleep(reactor, 0.01)
         self.service.switches.outage = True
-        self.service.cut_watches()
+        self.service.abort_watches()
         await self.assertFailure(waiting, KVUnavailableError)
         self.service.switches.outage = False
         self.service.switches.forget_before = 10
--- a/gladedrum/replay/compare.py
+++ b/gladedrum/replay/compare.py
@@ -5,12 +5,12 @@
 
 from ..scheduling import LONG_PROMPT_TOKENS
 from .local import LocalFleet, replay_locally
-from .report import PolicyFigures, figures
+from .report import PolicyMetrics, replay_metrics
 from .trace import TraceRow, without_long
 
 __all__ = ["compare_locally", "comparison_rows", "draw_comparison"]
 
-HEADING = [
+COMPARISON_HEADING = [
     "POLICY", "LENGTH", "REQUESTS", "COMPLETED", "NOT RUN", "FAILED", "TTFT P50", "P95", "P99"
 ]  # fmt: skip
 """Column headings of `comparison_rows`; times in seconds."""
@@ -26,7 +26,7 @@
     policies: Sequence[str],
     fleet: LocalFleet,
     on_policy: Callable[[str], None] = lambda _policy: None,
-) -> list[PolicyFigures]:
+) -> list[PolicyMetrics]:
     """Replay a trace under each policy, with and without its long prompts.
 
     Parameters
@@ -46,11 +46,11 @@
         on_policy(name)
         full = replay_locally(rows, name, fleet)
         baseline = replay_locally(short, name, fleet)
-        results.append(figures(name, full, baseline))
+        results.append(replay_metrics(name, full, baseline))
     return results
 
 
-def comparison_rows(results: Sequence[PolicyFigures]) -> list[list[object]]:
+def comparison_rows(results: Sequence[PolicyMetrics]) -> list[list[object]]:
     """Return the table rows, one for each policy and prompt-length class."""
     return [
         [
@@ -69,7 +69,7 @@
     ]
 
 
-def summary_rows(results: Sequence[PolicyFigures]) -> list[list[object]]:
+def summary_rows(results: Sequence[PolicyMetrics]) -> list[list[object]]:
     """Return the table rows, one for each policy."""
     return [
         [
@@ -87,7 +87,7 @@
     ]
 
 
-def draw_comparison(results: Sequence[PolicyFigures], path: str | Path) -> None:
+def draw_comparison(results: Sequence[PolicyMetrics], path: str | Path) -> None:
     """Draw a bar chart of the 95th percentile of the time to first token.
 
     Bars are grouped by prompt length, with one bar per policy in each group.
--- a/gladedrum/replay/report.py
+++ b/gladedrum/replay/report.py
@@ -10,7 +10,7 @@
 from ..telemetry import length_class
 from .local import ReplayRecord
 
-__all__ = ["LengthMetrics", "PolicyFigures", "Quantiles", "figures", "slowdowns"]
+__all__ = ["LengthMetrics", "PolicyMetrics", "Quantiles", "replay_metrics", "slowdowns"]
 
 _US_PER_S = 1_000_000
 _MAX_VALUE_US = 3_600 * _US_PER_S
@@ -36,7 +36,7 @@
     first_token_s: Quantiles
 
 
-class PolicyFigures(TypedDict):
+class PolicyMetrics(TypedDict):
     """Metrics of a replay under one policy.
 
     Parameters
@@ -87,9 +87,9 @@
     )
 
 
-def figures(
+def replay_metrics(
     policy: str, records: Sequence[ReplayRecord], baseline: Sequence[ReplayRecord]
-) -> PolicyFigures:
+) -> PolicyMetrics:
     """Return the metrics of a replay.
 
     Parameters
@@ -109,7 +109,7 @@
     completed_tokens = sum(r.row.prompt_tokens + r.row.output_tokens for r in done)
     ratios = slowdowns(records, baseline)
     p95_full, p95_baseline = _short_p95(records), _short_p95(baseline)
-    return PolicyFigures(
+    return PolicyMetrics(
         policy=policy,
         requests=len(records),
         completed=len(done),
--- a/gladedrum/standins/store.py
+++ b/gladedrum/standins/store.py
@@ -268,7 +268,7 @@
         for name, value in json_body(request).items():
             setattr(self.switches, name, value)
         if self.switches.outage:
-            self.cut_watches()
+            self.abort_watches()
         if self.switches.keeps_copy:
             self.save_snapshot()
         if self.switches.goes_back:
@@ -300,7 +300,7 @@
         self._entries = {key: replace(entry) for key, entry in snapshot.entries.items()}
         self._history, self._leases = list(snapshot.history), dict(snapshot.leases)
         self.era += 1
-        self.cut_watches()
+        self.abort_watches()
         if rewrite_delay_s is not None:
             self._clock.callLater(
                 rewrite_delay_s, self._repeat_operator_writes, written, snapshot.revision
@@ -321,7 +321,7 @@
         request.setHeader(wire.STORE_ERA, b"%d" % self.era)
         return json_reply(request, body, status)
 
-    def cut_watches(self) -> None:
+    def abort_watches(self) -> None:
         """Abort the connections of all waiting watches."""
         for request in list(self._watches):
             request.transport.abortConnection()
--- a/gladedrum/table/tests/test_follow.py
+++ b/gladedrum/table/tests/test_follow.py
@@ -25,7 +25,7 @@
 
     async def tearDown(self):
         self.service.stop()
-        self.service.cut_watches()
+        self.service.abort_watches()
         await self.web.close()
         await self.listening.stopListening()
 
--- a/gladedrum/table/tests/test_from_copy.py
+++ b/gladedrum/table/tests/test_from_copy.py
@@ -88,7 +88,7 @@
         cells = [Cell("default", "weight", 2.0), Cell("default", "deadline_s", 9.0)]
         await self.operator.edit(cells, 1, "somebody", "why")
         await self.wait_for_rows(boxes, weight=2.0, deadline_s=9.0)
-        self.service.cut_watches()
+        self.service.abort_watches()
         self.service.switches.outage = True
         self.service.restore_snapshot(None)
         self.service.switches.outage = False
