--- a/gladedrum/scheduling/__init__.py
+++ b/gladedrum/scheduling/__init__.py
@@ -2,16 +2,22 @@
 
 The package has two independent parts.
 
-- Queues: the owner of a target queues requests and reserves memory for them (`queue`, `jobs`,
-  `policies`, `segments`, `quotes`, `decisions`). This namespace exports these modules.
-- Placement of forwarded requests (`expected_loss`, `placement_policies`, `engine_model`, `ledger`,
-  `arrivals`), with rate limits (`rates`), detection of requests that crash targets (`suspects`) and
-  questions to coordinators (`questions`). These modules are imported by name.
+- Queues, for requests that `entry` runs: the owner of a target queues them and reserves memory for
+  them (`queue`, `jobs`, `policies`, `segments`, `quotes`, `decisions`). This namespace exports
+  these modules.
+- Placement, for requests that `forward` sends on by the operator's routes (`expected_loss`,
+  `placement_policies`, `engine_model`, `ledger`, `arrivals`), with rate limits (`rates`), detection
+  of requests that crash targets (`suspects`) and questions to coordinators (`questions`). These
+  modules are imported by name.
 
-An *engine* is the inference engine of a target. The *entry box* of a request is the box that
-received it from the caller. The placement modules say *reading* for prefill and *writing* for
-decode, see `engine_model`. Queues divide a prompt into *segments*, which engines prefill one after
-another; placement divides it into *parts*, which engines read at the same time.
+An *engine* is the inference engine of a target. An *attempt* is one send of a request to a target.
+The *entry box* of a request is the box that received it from the caller. *Coordinators* are the
+boxes that place requests for the others, see `beliefs.coordinators`.
+
+The placement modules say *reading* for prefill and *writing* for decode, see `engine_model`. Queues
+divide a prompt into *segments*, which engines prefill one after another; placement divides it into
+*parts*, which engines read at the same time. The length from which a prompt counts as *long*
+differs between modules; each has its own constant.
 """
 
 from .decisions import *
--- a/gladedrum/scheduling/arrivals.py
+++ b/gladedrum/scheduling/arrivals.py
@@ -1,8 +1,9 @@
 """Arrival rate of long prompts.
 
 Reading a prompt stretches the passes of its engine, and so the pauses of the answers beside it.
-Placement uses the recent arrival rate to estimate how much later long prompts will delay an answer.
-The terms are those of `engine_model`.
+Placement uses the recent arrival rate to estimate the delay of an answer by long prompts that
+arrive while it is written. A prompt is long here if its parts have at least `MIN_PART_TOKENS`. The
+other terms are those of `engine_model`.
 """
 
 import math
--- a/gladedrum/scheduling/decisions.py
+++ b/gladedrum/scheduling/decisions.py
@@ -67,7 +67,9 @@
 
 
 class Quote(NamedTuple):
-    """Expected time and cost of a request on a target, from its owner, which does not queue it yet.
+    """Expected time and cost of a request on a target.
+
+    The target's owner computes it without queueing the request.
 
     Parameters
     ----------
--- a/gladedrum/scheduling/engine_model.py
+++ b/gladedrum/scheduling/engine_model.py
@@ -86,7 +86,7 @@
         Answer tokens still to be written.
     depth : float
         Prompt tokens before those still to be read.
-    pair_share : float
+    pair_factor : float
         Factor on the pairs of the tokens read here. It is the number of parts for a part of a joint
         prompt, as the pairs of the whole prompt are shared evenly.
     writes : bool
@@ -208,6 +208,11 @@
         return writers, joint + whole
 
     def _steps(self, writers: Sequence[int], readers: Sequence[int]) -> int:
+        """Return the number of steps of the next simulated pass.
+
+        Without writers, the engine's passes of one step each are simulated as a single one, up to
+        the step that finishes the first prompt in reading order.
+        """
         if writers:
             return self._traits.stride
         return max(1, -int(-self._read_left[readers[0]] // self._traits.chunk))
--- a/gladedrum/scheduling/expected_loss.py
+++ b/gladedrum/scheduling/expected_loss.py
@@ -1,11 +1,11 @@
 """Placement by lowest expected loss, predicted with the engine model.
 
-Each request has a worth, of which it loses a share if it is late and all if its caller leaves. For
-each candidate engine the coming passes are simulated with and without the new request. Its cost
-there is what the requests already on the engine lose by the delay, plus what the new request loses
-itself. The request goes to the engine with the lowest cost, or, if its prompt is long, to the set
-of engines that reads it in parts at the lowest cost. One engine of a set answers; the others are
-its helpers.
+Each request has a *worth*, which grows with its prompt (`worth_of`). It loses a share of its worth
+if it is late and all of it if its caller leaves. For each candidate engine the coming passes are
+simulated with and without the new request. Its cost there is what the requests already on the
+engine lose by the delay, plus what the new request loses itself. The request goes to the engine
+with the lowest cost, or, if its prompt is long, to the set of engines that reads it in parts at the
+lowest cost. One engine of a set answers; the others are its helpers.
 """
 
 import bisect
@@ -46,11 +46,11 @@
 
 SIMULATED_ENGINES_PER_PART = 1.5
 """Engines that are simulated for each part of a prompt that needs many. Half of the shortlist is
-idle, so this finds nearly one idle engine per part."""
+for idle engines, so most parts can get an idle one."""
 
 HELPER_COST = 0.012
-"""Cost of each helper beyond the delays it suffers, as a share of the request's worth: one more
-engine that can fail."""
+"""Cost of each helper beyond the delays of the requests on it, as a share of the new request's
+worth: one more engine that can fail."""
 
 IDLE_COST = 0.04
 """Cost of an idle engine, which a long prompt may need next, in units of worth."""
@@ -234,7 +234,8 @@
     """Choose the engines for a request; None if no set of candidates has the memory for it.
 
     `long_prompt_arrivals` holds the recent long prompts, from which the interference of later
-    ones is estimated. Of engines with equal cost, the first in `candidates` is taken.
+    ones is estimated. Of engines with equal cost, the first in the shortlist is taken, which has
+    the order of `candidates` if all of them are simulated.
     """
     shortlist = _shortlist(candidates, _engines_to_simulate(traits, job))
     interference_loss = _interference_loss_function(
@@ -311,7 +312,7 @@
 
 
 def _shortlist(candidates: Sequence[Candidate], count: int) -> list[Candidate]:
-    """Return the engines worth simulating: idle ones, and those with the least to read."""
+    """Return the engines worth simulating: idle, with the least to read, or connected."""
     if len(candidates) <= count:
         return list(candidates)
     ordered = sorted(candidates, key=_backlog_key)
@@ -352,9 +353,10 @@
 ) -> Callable[[Candidate], float]:
     """Return a function that gives the loss expected from later long prompts on an engine.
 
-    Each part of a long prompt is assumed to take the engine with the least worth on it. It
-    therefore delays this request only if at least as many parts arrive during the answer as there
-    are cheaper engines and this one. The parts are assumed to arrive as a Poisson process.
+    Each part of a later prompt is assumed to take the engine with the least worth on it. Later
+    prompts therefore delay this request only if during its answer at least as many parts arrive as
+    there are engines with less worth, counting this engine too. The parts are assumed to arrive as
+    a Poisson process.
     """
     per_s = long_prompt_arrivals.parts_per_s(traits, job.pause_limit_s, now_s)
     if not per_s:
@@ -364,6 +366,7 @@
     ordered = sorted([candidate.ledger.total_worth for candidate in candidates])
 
     def interference_loss(candidate: Candidate) -> float:
+        # Counts this engine too, as its worth in `ordered` is without the request.
         cheaper_engines = bisect.bisect_left(ordered, candidate.ledger.total_worth + job.worth)
         return LATE_LOSS * job.worth * probabilities[cheaper_engines - 1]
 
--- a/gladedrum/scheduling/ledger.py
+++ b/gladedrum/scheduling/ledger.py
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Stake:
-    """The worth of a request and the times by which it loses that worth.
+    """The worth of a request (see `expected_loss`) and the times by which it loses that worth.
 
     Parameters
     ----------
@@ -59,7 +59,7 @@
         Unique to the attempt.
     prompt_tokens : float
         Tokens that this engine reads.
-    pair_share : float
+    pair_factor : float
         See `Work.pair_factor`.
     answer_tokens : float
         Expected length of the answer; 0 on helpers.
@@ -75,7 +75,7 @@
     first_event_s : float or None
         When its first event arrived, None before.
     read_left : float
-        Estimated tokens still to be read.
+        Estimated tokens still to be read; a negative value stands for the whole prompt.
     """
 
     work_id: str
--- a/gladedrum/scheduling/placement_policies.py
+++ b/gladedrum/scheduling/placement_policies.py
@@ -1,8 +1,8 @@
 """Placement functions of the policies: which engines get a forwarded request.
 
-The cell ``policy`` of the table of weights and limits names a policy for queueing (see `policies`)
-and for placement alike. Placement functions are stateless, so a policy can be changed while
-requests run.
+The cell ``policy`` of the table of weights and limits (`gladedrum.table`) names a policy for
+queueing (see `policies`) and for placement alike. Placement functions are stateless, so a policy
+can be changed while requests run.
 
 Examples
 --------
@@ -72,7 +72,10 @@
     now_s: float,
     _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
-    """Choose the engine with the fewest requests of any size: a baseline."""
+    """Choose the engine with the fewest requests of any size: a baseline.
+
+    The queueing policy `fifo` selects targets by hashing instead.
+    """
     return _least_by(traits, candidates, job, now_s, lambda c: len(c.ledger.rows))
 
 
@@ -96,7 +99,7 @@
     now_s: float,
     _long_prompt_arrivals: LongPromptArrivals | None = None,
 ) -> Placement | None:
-    """Reserve half of the engines for long prompts: a common baseline."""
+    """Choose the least loaded engine of the pool for this prompt length: a common baseline."""
     ordered = sorted(candidates, key=lambda candidate: candidate.name)
     split = max(1, round(len(ordered) * LONG_SHARE))
     pool = ordered[:split] if job.prompt_tokens >= LONG_PROMPT_TOKENS else ordered[split:]
@@ -110,7 +113,10 @@
     now_s: float,
     load: Callable[[Candidate], float],
 ) -> Placement | None:
-    """Choose the least loaded engine; `fair_slack` places prompts that fit no engine."""
+    """Choose the engine with the lowest `load` among those with enough free memory.
+
+    `fair_slack` places requests that exceed the whole memory of an engine.
+    """
     total_tokens = job.prompt_tokens + job.answer_tokens
     if total_tokens > traits.memory_tokens:
         return expected_loss.place(traits, candidates, job, now_s)
--- a/gladedrum/scheduling/policies/core.py
+++ b/gladedrum/scheduling/policies/core.py
@@ -29,13 +29,14 @@
     long_tokens : int
         Memory held by long requests, in tokens.
     long_prefills : tuple of int
-        Prompt lengths of the long requests before their first token, in tokens.
+        Prompt lengths of the long requests before their first token, in tokens. Later segments
+        are left out, as they mostly wait for earlier ones.
     long_step_s : float
         Longest expected step of these requests, in seconds; 0 if there are none.
     outstanding_tokens : int
         Tokens of all running and waiting requests.
     work_done_s : mapping of str to float
-        Recent engine time of each organisation, in seconds.
+        Engine time granted to each organisation within `Policy.fairness_window_s`, in seconds.
     least_served_s : float
         `work_done_s` divided by the weight, of the organisation for which this is lowest among
         those with waiting requests.
@@ -63,10 +64,11 @@
     """
 
     name: ClassVar[str]
-    """The policy's name in the table of weights and limits."""
+    """The policy's name in the table of weights and limits, see `gladedrum.table`."""
 
     fairness_window_s: ClassVar[float] = 60.0
-    """Window over which the engine time of organisations is summed, in seconds."""
+    """Window over which the engine time of organisations is summed, in seconds. Queues use this
+    value under every policy; a subclass cannot override it."""
 
     segments: ClassVar[SegmentRule] = SegmentRule()
     """Sizes of the segments into which prompts are split."""
--- a/gladedrum/scheduling/policies/fair_slack.py
+++ b/gladedrum/scheduling/policies/fair_slack.py
@@ -4,8 +4,8 @@
 prompt. Requests are ordered by the latest time at which they can start and still meet it; the time
 left until then is their slack. The latest start does not change while a request waits, so new
 requests cannot delay a long one indefinitely, while a short request passes a long one that has
-slack. A request of an organisation that has used more than
-its fair share of recent engine time is ordered later by the excess.
+slack. A request of an organisation that has used more than its fair share of recent engine time is
+ordered later by the excess.
 """
 
 from collections.abc import Sequence
@@ -19,13 +19,13 @@
 __all__ = ["FairSlack", "first_token_objective_s"]
 
 _CHOICES = 2
-"""Number of targets that a short prompt asks for quotes, beside the one with its prefix."""
+"""Number of targets asked for quotes for a short prompt, beside the one that caches its prefix."""
 
 _LONG_CHOICES = 12
-"""Number of targets that a long prompt asks for quotes."""
+"""Number of targets asked for quotes for a long prompt."""
 
 _LONG_SHARE = 0.8
-"""Share of the targets that long prompts ask first."""
+"""Share of the targets that are preferred for long prompts."""
 
 _POOL_KEY = "long prompts"
 """Hash key for the targets that long prompts prefer; the same on all boxes."""
--- a/gladedrum/scheduling/policies/fifo.py
+++ b/gladedrum/scheduling/policies/fifo.py
@@ -17,6 +17,6 @@
     name = "fifo"
 
     def candidates(self, job: Job, targets: Sequence[TargetView], count: int) -> list[str]:
-        """Return only as many targets as are needed, always the same for a request."""
+        """Return only as many targets as are needed, always the same for a job id."""
         names = [t.name for t in targets if t.memory_tokens >= job.memory_tokens]
         return rendezvous_order(job.job_id, names)[:count]
--- a/gladedrum/scheduling/policies/least_loaded.py
+++ b/gladedrum/scheduling/policies/least_loaded.py
@@ -10,7 +10,7 @@
 __all__ = ["LeastLoaded"]
 
 _CHOICES = 4
-"""Number of targets that are asked for quotes if one is needed."""
+"""Number of targets that are asked for quotes for a request that needs one target."""
 
 
 @register
--- a/gladedrum/scheduling/questions.py
+++ b/gladedrum/scheduling/questions.py
@@ -1,10 +1,10 @@
 """Questions of boxes to coordinators: the order in which they are answered, and how long to wait.
 
-A box that needs a placement (the asker) sends a question to a coordinator, a member of the
-coordinator group. This module protects coordinators from a metastable failure, in which a short
-flash crowd leaves them busy with expired questions long after it has ended. Coordinators reply
-"busy" without a decision to questions whose askers no longer wait, and askers wait longer for a
-slow coordinator instead of treating it as dead.
+A box that needs a placement (the asker) sends a question to a coordinator, one of the boxes that
+place requests for the others. This module protects coordinators from a metastable failure, in which
+a short flash crowd leaves them busy with expired questions long after it has ended. Coordinators
+reply "busy" without a decision to questions whose askers no longer wait, and askers wait longer for
+a slow coordinator instead of treating it as dead.
 
 Examples
 --------
@@ -29,7 +29,8 @@
 decision."""
 
 MAX_WAIT_S = 0.12
-"""Maximum time that an asker waits, in seconds: a fraction of the shortest objective."""
+"""Maximum time that an asker waits, in seconds: a fraction of the shortest objective for a
+first event."""
 
 WAIT_PER_MEAN = 3.0
 """Time that an asker waits, as a multiple of the coordinator's mean answer time."""
--- a/gladedrum/scheduling/queue.py
+++ b/gladedrum/scheduling/queue.py
@@ -57,8 +57,8 @@
     max_running : int
         Maximum number of requests that hold a reservation.
     renewal_s : float
-        A reservation expires if the box that received the request does not renew it within this
-        time, in seconds.
+        A reservation expires if the request's entry box does not renew it within this time, in
+        seconds.
     margin : float
         Safety factor on the expected duration when it is compared with a deadline.
     """
@@ -147,7 +147,8 @@
     token_s : float
         Estimated time per output token, in seconds.
     work_done_s : dict of str to float
-        Recent engine time of each organisation, in seconds.
+        Expected engine time granted to each organisation within `Policy.fairness_window_s`, in
+        seconds.
     """
 
     traits: QueueEngineTraits
@@ -289,7 +290,7 @@
             self.running[job_id].renewed_s = now_s
 
     def expire(self, now_s: float) -> list[Job]:
-        """Remove and return the reservations that were not renewed in time."""
+        """Remove the reservations that were not renewed in time; return their requests."""
         lost = [r.job for r in self.running.values() if now_s - r.renewed_s > self.limits.renewal_s]
         for job in lost:
             del self.running[job.job_id]
@@ -454,6 +455,10 @@
         return Grant(job, priority)
 
     def _record_work(self, job: Job, prefill_s: float, now_s: float) -> None:
+        """Add the expected engine time of a granted request to that of its organisation.
+
+        Running requests decode in the same steps, so only a share of the decode time counts.
+        """
         work_s = prefill_s + self._decode_s(job) / self.limits.max_running
         self._recent.append(_GrantedTime(now_s, job.organisation, work_s, job.length_tokens))
         self.work_done_s[job.organisation] = self.work_done_s.get(job.organisation, 0) + work_s
--- a/gladedrum/scheduling/rates.py
+++ b/gladedrum/scheduling/rates.py
@@ -2,7 +2,8 @@
 
 A target under pressure names in its answers how many requests a second it accepts from all boxes
 together. The rate holds until a later answer names another or none; answers may arrive out of
-order. For each target one box grants *places*, permits to send one request now, to all boxes.
+order. For each target one box is responsible: it grants *places*, permits to send one request now,
+to all boxes. A place takes a token from the target's bucket.
 """
 
 from collections.abc import Container
@@ -73,7 +74,7 @@
 """Longest interval between requests to a target, in seconds, however low its rate."""
 
 REPORT_SHARE = 0.25
-"""Share of a named rate that the polling of reports may use; the rest is for callers."""
+"""Share of a named rate that polling the target's load report may use; the rest is for callers."""
 
 BURST_S = 0.5
 """Size of a bucket, as seconds of its rate (but at least one request). It is small so that
@@ -84,8 +85,9 @@
 seconds of the rate. The bound keeps old debt from blocking callers."""
 
 SUBSTITUTE_SHARE = 0.25
-"""Share of a rate that a box grants while the box responsible for the target does not answer. It is
-small because several substitutes may grant at once, beside the responsible box."""
+"""Share of a rate that another box, a substitute, grants while the box responsible for the target
+does not answer. If no substitute answers either, all boxes split this share. It is small because
+several substitutes may grant at once, beside the responsible box."""
 
 
 def interval_s(per_s: float) -> float:
@@ -100,7 +102,7 @@
 
 
 def report_interval_s(rate: NamedRate | None, usual_s: float) -> float:
-    """Return the seconds between two reports of a target under its named rate, if any."""
+    """Return the seconds between two polls of a target's load report under its rate, if any."""
     if rate is None:
         return usual_s
     return max(usual_s, min(MAX_INTERVAL_S, interval_s(rate.per_s) / REPORT_SHARE))
--- a/gladedrum/scheduling/segments.py
+++ b/gladedrum/scheduling/segments.py
@@ -1,8 +1,8 @@
 """Segments of prompts that exceed a policy's preferred share of an engine's memory.
 
 Each segment has an engine of its own; they are prefilled one after another. Each stays in the
-memory of its engine, from which the engine of the next segment reads it; the last engine writes the
-answer. The memory of all segments is reserved before the first one starts, in the order of the
+memory of its engine, from which the engine of the next segment fetches it; the last engine writes
+the answer. The memory of all segments is reserved before the first one starts, in the order of the
 targets' names, so that two such requests cannot deadlock.
 """
 
@@ -25,7 +25,7 @@
 
 
 class Segment(NamedTuple):
-    """The part of a prompt that one engine holds.
+    """Consecutive tokens of a prompt that one engine prefills and holds.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     prompt_tokens : int
         Its length.
     output_tokens : int
-        Length of the answer for the last segment, 0 for the others.
+        Maximum length of the answer for the last segment, 0 for the others.
     """
 
     start_tokens: int
@@ -69,7 +69,7 @@
     memory_tokens : int
         Memory of the smallest candidate engine.
     engines : int
-        Number of engines.
+        Number of candidate engines.
     rule : SegmentRule
         Sizes of segments.
 
--- a/gladedrum/scheduling/suspects.py
+++ b/gladedrum/scheduling/suspects.py
@@ -1,16 +1,17 @@
 """Detection of requests that crash targets (queries of death).
 
-A request that crashes every target that starts it returns under a new id, on any box. Boxes record
-which requests were in progress on each start of a target that was lost, and exchange these losses.
-The verdict on a loss only moves from open to ended to cleared, so losses can be merged in any
-order, late and repeatedly. A request's standing depends on the losses alone and is therefore the
-same on all boxes that have the same losses.
+A request that crashes every target that starts it returns under a new id, on any box. A *loss* is
+the record that a request was in progress on a target when the box lost the target. A target has
+*ended* if its process stopped unplanned. The *verdict* on a loss is open until it is known whether
+the target ended; a loss is cleared if the target turns out to be alive or the request completes
+anywhere. Boxes exchange their losses. A verdict only moves forward, from open to ended to cleared,
+so losses can be merged in any order, late and repeatedly. A request's *standing* depends on the
+losses alone and is therefore the same on all boxes that have the same losses.
 
 When a target ends, all its requests are lost, most of them innocent. An end is attributed to the
-request with the most losses; a request that completes anywhere is cleared. Until then, suspects are
-kept apart from each other. From the second loss on a suspect runs by itself, one at a time in the
-fleet. From the third on it waits until it is settled whether the targets ended, and is refused
-(condemned) if they did.
+request with the most losses that are not cleared. Suspects are kept apart from each other. From the
+second loss on a suspect runs by itself, one at a time in the fleet. From the third on it waits
+until it is settled whether the targets ended, and is refused (condemned) if they did.
 
 Examples
 --------
@@ -37,7 +38,7 @@
 
 LOSS_RETENTION_S = 600.0
 """How long a settled loss counts, in seconds. After that a condemned request is tried again, as
-targets may run another version; if it still ends them, this costs one target per period."""
+targets may run another version; if it still ends them, it is condemned again by the same rules."""
 
 SETTLE_TIMEOUT_S = 10.0
 """How long an open loss counts, in seconds. It exceeds the time after which the expired store
@@ -66,7 +67,12 @@
 
 
 class Verdict(IntEnum):
-    """Whether the target of a loss has ended; when boxes disagree, the higher value wins."""
+    """Whether the target of a loss has ended; when boxes disagree, the higher value wins.
+
+    OPEN : It is not known yet.
+    ENDED : The target's process stopped unplanned.
+    CLEARED : The target is alive, or the request has completed.
+    """
 
     OPEN = 0
     ENDED = 1
@@ -126,7 +132,7 @@
     route, organisation : str
         Origin of the request.
     starts : tuple of TargetStart
-        The targets that it ended.
+        The starts of targets with which it was lost, and whose loss is attributed to it.
     age_s, left_s : float
         Seconds since its last loss, and until it is tried again.
     """
--- a/gladedrum/scheduling/tests/test_expected_loss.py
+++ b/gladedrum/scheduling/tests/test_expected_loss.py
@@ -98,6 +98,7 @@
 
 
 def test_policies_choose_different_engines():
+    """Only `fifo` prefers the engine with fewer requests, although it reads a long prompt."""
     engines = [
         candidate("short", *(row(f"s{i}", 5_000, writing=True) for i in range(3))),
         candidate("long", row("l", 130_000)),
--- a/gladedrum/scheduling/tests/test_long_pauses.py
+++ b/gladedrum/scheduling/tests/test_long_pauses.py
@@ -1,6 +1,7 @@
 """Expected loss of a long prompt whose reading pauses the answers of a whole fleet.
 
-Reproduces a placement of one prompt on 16 of 18 engines that stalled all short answers there.
+Guards against underestimating the loss of answers that callers abandon during such pauses. All
+engines write short answers; the long prompt is read on 16 of the 18.
 """
 
 import math
--- a/gladedrum/scheduling/tests/test_very_long_prompts.py
+++ b/gladedrum/scheduling/tests/test_very_long_prompts.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("tokens", [800_000, 1_000_000])
 def test_very_long_prompt_is_split_into_enough_parts(tokens):
-    """Compares with the loss with at most 16 parts and 18 simulated engines."""
+    """Compares with the mean loss if at most 16 parts are used and 18 engines simulated."""
     loss_with_16_parts = {800_000: 21.5, 1_000_000: 49.1}[tokens]
     assert mean_loss(tokens, long_prompts=0, short_answers=10) < 0.95 * loss_with_16_parts
 
