--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -1,7 +1,9 @@
 """Choice of targets for a request, by a placement policy.
 
 A *plain service* is one without engines. Its requests go to the target with the lowest cost;
-requests for engines are placed by the policy that the table sets.
+requests for engines are placed by the policy that the table of weights and limits sets. A target is
+*closed* to a request if it takes none now, because of its rate limit or a backoff (in `fleet_view`,
+because of its rate limit only).
 """
 
 import hashlib
@@ -78,8 +80,9 @@
         Digest of its content, if the sending box suspects any request of ending targets; else
         empty.
     closed : mapping of str to float
-        Targets that take no request from the sending box now, because of their rate limits or
-        because they asked it for a backoff, and for how many more seconds.
+        Targets that take no request from the sending box now, and for how many more seconds: those
+        that asked it for a backoff and, in the demand that a coordinator makes of a peer's
+        question, also those closed by their rate limits as far as the peer knows.
     """
 
     service: Service
@@ -108,7 +111,8 @@
     part_tokens : int
         Number of tokens that each of them reads.
     reserved : bool
-        Whether the helpers must reserve memory.
+        Whether each engine holds the part of the prompt that it reads, so that helpers must reserve
+        memory; else the answering engine holds all of it.
     loss : float
         Expected loss of worth, see `scheduling.expected_loss`.
     first_event_s, pause_s : float
@@ -164,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOnHold:
-    """Not placed: the request is suspected of ending targets, and its other run is not settled yet.
+    """Not placed: a suspected request waits for another run, or for the verdict on past ones.
 
     Parameters
     ----------
@@ -224,7 +228,11 @@
         self._view = view
 
     def choose(self, demand: Demand, tried: Sequence[str]) -> Choice | None:
-        """Return the best open target, None if there is none; targets in `tried` come last."""
+        """Return the best choice among the open targets; None if none of them has room.
+
+        Targets that should be avoided are used only if no others have room, in this order: those
+        occupied by suspected requests, those with a high distrust, those in `tried`.
+        """
         now_s = self._clock.seconds()
         listed = self._open_targets(demand, now_s)
         fresh = [entry for entry in listed if entry.name not in tried] if tried else listed
@@ -246,7 +254,10 @@
         return min(max(closed.get(e.name, 0.0), demand.closed.get(e.name, 0.0)) for e in listed)
 
     def all_in_backoff_s(self, demand: Demand) -> float | None:
-        """Return the seconds until the first backoff ends if all targets are in one, else None."""
+        """Return the seconds until the first backoff ends if all targets are in one, else None.
+
+        Only for a request of this box, since `Demand.closed` of a peer's includes rate limits.
+        """
         listed = self._usable_targets(demand.service.name)
         if not listed or any(entry.name not in demand.closed for entry in listed):
             return None
@@ -278,9 +289,10 @@
     def suspect_refusal(self, demand: Demand) -> RequestCondemned | RequestOnHold | None:
         """Return why a suspected request must not run now, None if it may.
 
-        A request to an engine waits from its first loss on while another run of it is under way. A
-        request to a plain service waits only from the second loss on: identical plain requests are
-        common, and most requests that were lost with a target once did not cause its end.
+        A request to an engine waits from its first loss (see `suspicion`) on while another run of
+        it is under way. A request to a plain service waits only from the second loss on: identical
+        plain requests are common, and most requests that were lost with a target once did not cause
+        its end.
         """
         if not demand.digest:
             return None
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -2,10 +2,13 @@
 
 The target list itself is in `beliefs`. Terms:
 
+- *Work* is a request that was placed, see `work_plan`; the *ledger* of a target holds its work.
 - *Distrust* is the estimated probability that a target fails a request.
-- A target is *silent*, or suspect, while its load reports are missing. A *suspected request* is
-  something else: a request that may end the targets that run it, see `suspicion`.
-- A *backoff* is a period in which a target takes nothing from this box, because it asked for that.
+- A target is *silent*, or suspect, while its load reports are missing, or after it has refused
+  connections from several boxes. A *suspected request* is something else: a request that may end
+  the targets that run it, see `suspicion`.
+- A *backoff* is a period in which this box sends a target nothing but renewals of reservations,
+  because the target asked for that.
 - A target is *closed* while its rate limit allows no further request.
 - `born` identifies one start of a target's process.
 """
@@ -39,14 +42,14 @@
 
 MIN_SILENT_REPORT_AGE_S = 1.4
 """Age of an engine's last report, in seconds, from which a peer's note that the engine is silent is
-believed. This is longer than the next reader takes to poll it (1.3 s), so that a broken link
-between an engine and its reader does not make all boxes suspect it, and shorter than two polls that
-time out (1.5 s), so that a silent engine is detected without extra delay."""
+believed. This is longer than the next reader (see `reports`) takes to poll it (1.3 s), so that a
+broken link between an engine and its reader does not make all boxes suspect it, and shorter than
+two polls that time out (1.5 s), so that a silent engine is detected without extra delay."""
 
 MIN_REFUSED_BOXES = 2
 """An engine that has refused connections from this many boxes counts as silent, since its process
-has probably ended. A refusal to one box may be a fault of the link, so the next reader polls
-it at once."""
+has probably ended. A refusal to one box may be a fault of the link, so the second reader
+(see `reports`) polls it in its next round."""
 
 REFUSAL_LIFETIME_S = 1.0
 """How long a refused connection counts, in seconds: two report intervals and a network delay."""
@@ -95,13 +98,14 @@
     distrust_updated_s : float
         When `distrust` was last updated.
     silent : bool
-        Whether its reports are missing, as found by this box's polls or told by peers.
+        Whether its reports are missing, as found by this box's polls or told by peers, or it has
+        refused connections from `MIN_REFUSED_BOXES` boxes.
     refused_s : dict of str to float
         The boxes whose connections it has refused since its last report, and when.
     born : int
         Identifies the start of its process, as in `TargetEntry`; 0 if unknown.
     rate : NamedRate or None
-        Rate limit over all boxes that it names, None if it names none.
+        Rate limit that the target names for all boxes together, None if it names none.
     closed_until_s : float
         Until when it takes no further request by its rate limit, as far as this box knows.
     """
@@ -123,7 +127,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it is silent, that is, did not answer polls.
+        """Whether it is silent: its reports are missing, or it refuses connections.
 
         The age of a report is not evidence: the box that reads the reports may have stopped.
         """
@@ -132,7 +136,7 @@
     def unknown_tokens(self) -> float:
         """Return the memory in its report beyond the work known here, in tokens.
 
-        Boxes that are partitioned from each other see each other's long prompts only there.
+        Boxes that are partitioned from each other see each other's long prompts only in reports.
         """
         if self.report is None:
             return 0.0
@@ -148,9 +152,9 @@
 
 
 class _Backoff(NamedTuple):
-    """Until when one start of a target takes nothing from this box.
+    """The end of a backoff, and the start of the target that asked for it.
 
-    Stored apart from `TargetState`, which is dropped when the target's entry lapses.
+    Stored apart from `TargetState`, which is dropped when the target is no longer listed.
     """
 
     born: int
@@ -221,7 +225,7 @@
         return list(self._suspect_plans.values())
 
     def forget_work_of(self, box: str) -> None:
-        """Drop the work of a box that is gone, since no box will report its end.
+        """Drop the work of a box that has gone or restarted, since no box will report its end.
 
         Otherwise the rows would count until they expire (40 s) and distort placements.
         """
@@ -231,7 +235,7 @@
                 state.ledger.remove(work_id)
 
     def note_placed(self, plan: WorkPlan, now_s: float) -> None:
-        """Record work that was placed."""
+        """Record work that was placed; a rate limit, if any, closes its target for a while."""
         parts = len(plan.targets)
         if plan.digest:
             self._suspect_plans[plan.work_id] = plan
@@ -307,8 +311,8 @@
     ) -> bool:
         """Record the rate limit in a target's answer, None if none; return whether it has changed.
 
-        `asked_s` is when the answered request was sent; `told_by` is the peer that got the answer,
-        if any.
+        `asked_s` is when the answered request was sent, `now_s` when the answer arrived; `told_by`
+        is the peer that got the answer, if any.
         """
         state = self._states[target]
         before = state.rate
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -1,9 +1,9 @@
 """Placement of requests, decided on this box or by a coordinator that it asks.
 
 The members of the `CoordinatorGroup`, the *coordinators*, receive notes on all work in the fleet
-and decide for the other boxes. The box that decides on a request is its *decider*. The group
-improves placements but is not required: a coordinator that does not answer in time is skipped, and
-in the end the box decides from its own state.
+(see `work_plan`) and decide for the other boxes. The box that decides on a request is its
+*decider*. The group improves placements but is not required: a coordinator that does not answer in
+time is skipped, and in the end the box decides from its own state.
 """
 
 import logging
@@ -37,7 +37,8 @@
 __all__ = ["Placer"]
 
 MAX_MEMBERS_ASKED = 2
-"""Number of coordinators that are asked before a box decides alone."""
+"""Number of coordinators that are asked before a box decides alone. If some were cold (see
+`WARM_UP_S`), the first of these is asked once more, to decide all the same."""
 
 LONG_PROMPT_TOKENS = 30_000
 """Prompts of at least this many tokens are placed by a single box, the first of
@@ -50,7 +51,7 @@
 
 MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_S = 0.25, 10.0
 """Bounds of Retry-After for a request that `MAX_ABANDON_CHANCE` refuses, in seconds: a few passes
-of an engine, and the longest time that callers wait."""
+of an engine (see `engine_model`), and the longest time that callers wait."""
 
 WARM_UP_S = 3.0
 """How long a box is *cold* after it starts to receive notes on all work, in seconds. A cold box
@@ -148,6 +149,7 @@
     def _decide(
         self, work_id: str, demand: Demand, tried: Sequence[str]
     ) -> tuple[Choice, WorkPlan] | NoPlacement | None:
+        """Choose on this box; record the placement in the ledgers and send it to the peers."""
         refusal = self._chooser.suspect_refusal(demand)
         if refusal is not None:
             return refusal
@@ -226,6 +228,7 @@
         return None if answer is None else self._accept(answer, member)
 
     def _accept(self, note: ChoiceNote, member: str) -> tuple[str, Choice | NoPlacement] | None:
+        """Return the work id and choice in an answer; withdraw it and return None if unusable."""
         choice = self._choice_from_note(note, member)
         if choice is not None:
             return note.work_id, choice
@@ -249,10 +252,12 @@
             connected=sorted(demand.connected),
             digest=demand.digest or None,
             closed=self._view.closed(self._clock.seconds()) or None,
+            # On the asking box, `demand.closed` holds the backoffs only.
             resting=dict(demand.closed) or None,
         )
 
     def _note_membership(self) -> None:
+        """Update since when this box has been a coordinator, for `_is_cold`."""
         if not self._coordinators.includes_me():
             self._member_since_s = None
         elif self._member_since_s is None:
@@ -301,6 +306,7 @@
         if self._is_cold() and not ask.insists:
             return ChoiceNote(ask.work_id, [], cold=True)
         now_s = self._clock.seconds()
+        # The asker may know that a target has closed before this box does.
         for name, for_s in (ask.closed or {}).items():
             if self._view.state(name).rate is not None:
                 self._view.note_closed(name, for_s, now_s)
@@ -322,7 +328,7 @@
         return _note_from_placement(ask.work_id, placed, self._rate_of(placed))
 
     def _rate_of(self, placed: tuple[Choice, WorkPlan] | NoPlacement | None) -> float | None:
-        """Return the rate limit of the chosen target, None if it names none."""
+        """Return the rate limit that the chosen target names, None if there is none."""
         if placed is None or isinstance(placed, NoPlacement):
             return None
         rate = self._view.state(placed[0].main.name).rate
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -1,8 +1,9 @@
 """Polling of engines for their load reports.
 
-Each engine is polled by one box, its reader, which passes the reports on to the other boxes. Each
-engine has its own order of readers; the next box in it takes over if no report has been passed on
-in time. (Readers of reports are not the `CoordinatorGroup.readers`, which read the target list.)
+Each engine is polled by one coordinator, its reader, which passes the reports on to the other
+boxes. Each engine has its own order of readers; the next box in it takes over if no report has been
+passed on in time. (Readers of reports are not the `CoordinatorGroup.readers`, which read the target
+list.)
 """
 
 import hashlib
@@ -25,7 +26,7 @@
 __all__ = ["ReportReader", "read_report", "responsible_boxes"]
 
 INTERVAL_S = 0.4
-"""Pause between two polls of an engine, in seconds; a poll costs the engine as much as a probe."""
+"""Pause between two rounds of polls, in seconds; bounds the load that polls put on engines."""
 
 TIMEOUT_S = 0.7
 """Timeout of a report, in seconds; engines normally answer in milliseconds."""
@@ -108,6 +109,7 @@
             await sleep(self._clock, INTERVAL_S)
 
     def _is_due(self, entry: TargetEntry, readers: list[str]) -> bool:
+        """Whether this box polls an engine in this round."""
         if self._me not in readers:
             return False
         now_s = self._clock.seconds()
--- a/gladedrum/placing/retry_pool.py
+++ b/gladedrum/placing/retry_pool.py
@@ -3,10 +3,10 @@
 A *retry* is any further attempt of a request, hedges included; messages, log lines and metrics call
 it a repeat. The budget is a ratio of requests plus a slack. In a large fleet, an even split of the
 slack would leave each box one or two retries: too few where many requests fail at once, and unused
-elsewhere. There, the coordinators hold the slack, and other boxes ask one of them for each retry
-beyond their own ratio. In a small fleet each box has a share, and asks others once it is empty. A
-retry is taken from the share of the box that grants it, so the total stays within the budget
-whichever box sends it.
+elsewhere. There, the coordinators hold the slack, and other boxes ask up to two of them for each
+retry beyond their own ratio. In a small fleet each box has a share, and asks others once it is
+empty. A retry is taken from the share of the box that grants it, so the total stays within the
+budget whichever box sends it.
 """
 
 import itertools
@@ -89,7 +89,7 @@
         self._shares.note_request(service, self._clock.seconds())
 
     async def take(self, service: str) -> Grant | None:
-        """Take one retry; return None if there is none left."""
+        """Take one retry; return whose share it is from, None if there is none left."""
         if self._shares.take(service, self._clock.seconds()):
             return Grant.OWN
         if await self._ask(service):
--- a/gladedrum/placing/retry_shares.py
+++ b/gladedrum/placing/retry_shares.py
@@ -39,7 +39,8 @@
     Parameters
     ----------
     ratio, slack, window_s : float
-        The fleet-wide budget.
+        The fleet-wide budget: retries per request, further retries per window, and the length of
+        the window in seconds.
     sharers : callable
         Returns the number of boxes that share the slack; 0 if this box has no share.
     """
--- a/gladedrum/placing/statements.py
+++ b/gladedrum/placing/statements.py
@@ -1,11 +1,13 @@
 """Statements that targets make about themselves in their answers: rate limit, leaving, backoff.
 
-Every answer counts: also refusals, answers to reports and orders, and the answer of a hedge that is
-no longer needed. Each kind of statement has its own scope and lifetime:
-
-- The rate limit applies to all boxes while answers name it; kept in `TargetRates`.
-- Leaving applies to all boxes for the lifetime of that start of the target; kept in the target
-  list.
+Every answer counts: also refusals, answers to polls and to memory orders (see `platform.orders`),
+and the answer of a hedge that is no longer needed. Each kind of statement has its own scope and
+lifetime:
+
+- The rate limit applies to all boxes while answers name it; kept in `FleetView` and enforced by
+  `TargetRates`.
+- Leaving (the target takes no new work and will stop) applies to all boxes for the lifetime of that
+  start of the target; kept in the target list.
 - A backoff applies to the box that got the answer, until a given time; kept in `FleetView`.
 
 Everything that is sent to a target passes `TargetStatements.authorize`, which enforces leaving and
@@ -56,7 +58,7 @@
 
 
 class ShownStatements(TypedDict):
-    """Statements of targets, as shown to operators."""
+    """Statements of targets, as shown to operators; `rests` holds the backoffs."""
 
     rates: list[ShownRate]
     leaving: list[ShownLeaving]
@@ -75,7 +77,7 @@
     view : FleetView
         The state of targets; keeps their backoffs.
     rates : TargetRates
-        Keeps the rate limits that they name.
+        Enforces the rate limits that they name.
     port : GossipPort
         Sends datagrams to other boxes.
     """
@@ -99,7 +101,9 @@
     # Called by the connection pool.
 
     def authorize(self, target: str, kind: CallKind) -> int:
-        """Check that a call may be sent to a target now; return the target's known start.
+        """Check that a call may be sent to a target now; return the target's known start, or 0.
+
+        Calls other than requests are counted against the target's rate limit here.
 
         A leaving target finishes the work that it has begun: its reservations are renewed and
         freed, and its reports are read. A target in backoff gets renewals only: without them it
--- a/gladedrum/placing/suspect_separation.py
+++ b/gladedrum/placing/suspect_separation.py
@@ -13,11 +13,12 @@
 def separate_suspects(
     entries: Sequence[TargetEntry], standing: Standing, view: FleetView, now_s: float
 ) -> Sequence[TargetEntry]:
-    """Return those of `entries` where the request shares no target with a suspected request.
+    """Return those of `entries` that keep suspected requests apart; may be empty.
 
-    If two suspected requests shared a target, both would be lost with it, and neither could be
-    identified as the cause. A request that must run alone gets the targets with the least work, and
-    no other request is placed beside it. The result may be empty.
+    A suspected request gets targets without another suspected request: both would be lost with a
+    shared target, and neither could be identified as the cause. If it must run alone, it gets those
+    with the least work. A request that is not suspected avoids targets where one runs alone. The
+    chooser does without the separation if no target is left.
     """
     plans = view.suspect_plans(now_s)
     if standing is Standing.CLEAR:
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -38,7 +38,7 @@
 that has ended takes longer to restart, so a process that listens then did not end."""
 
 IsListening = Callable[[], Awaitable[bool | None]]
-"""Returns whether a process accepts connections there; None if unknown."""
+"""Returns whether a process accepts connections at the target's address; None if unknown."""
 
 _log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
         return self._tracker.is_watching
 
     def standing(self, digest: bytes) -> Standing:
-        """Return the standing of a request: clear, or how it is restricted."""
+        """Return the standing of a request: clear, or how it is restricted (see `Standing`)."""
         return self._tracker.standing(digest, self._clock.seconds())
 
     def condemned_for_s(self, digest: bytes) -> float | None:
@@ -112,8 +112,8 @@
     async def check(self, target: str, is_listening: IsListening) -> None:
         """Find out, after a loss, whether a target without reports has ended.
 
-        Otherwise only the lapse of its entry in the target list would show the end, 4 to 5 s later,
-        and nothing would show that the target is alive.
+        Otherwise only the expiry of its entry in the target list would show the end, 4 to 5 s
+        later, and nothing would show that the target is alive.
         """
         start = self._start(target)
         await sleep(self._clock, CHECK_DELAY_S)
--- a/gladedrum/placing/target_rates.py
+++ b/gladedrum/placing/target_rates.py
@@ -49,7 +49,25 @@
 
 
 class ShownRate(TypedDict):
-    """A rate limit as shown to operators; times in seconds."""
+    """A rate limit as shown to operators; times in seconds.
+
+    Parameters
+    ----------
+    target : str
+        The target.
+    per_s : float
+        Requests per second from all boxes together.
+    named_for_s : float
+        How long the target has named a rate.
+    heard_age_s : float
+        Age of the latest answer that named this rate.
+    told_by : str
+        The peer that got that answer, empty if it was this box.
+    closed_for_s : float
+        For how much longer the target takes no request, as far as this box knows.
+    added_up_by : str
+        The coordinator that counts the requests of all boxes.
+    """
 
     target: str
     per_s: float
@@ -118,7 +136,7 @@
             self._port.broadcast_rate(RateNote(target, born, per_s, now_s - sent_s, 0.0))
 
     def note_call(self, target: str) -> None:
-        """Count a call that is sent without a place: a report or an order."""
+        """Count a call that is sent without a place: a poll for a report, or an order."""
         self._drop_unlisted()
         state = self._view.state(target)
         if state.rate is None:
@@ -279,6 +297,7 @@
         return rate.per_s if rate is not None else max(0.0, told_per_s or 0.0)
 
     def _order(self, target: str) -> list[str]:
+        """Return the coordinators in order of responsibility: the counting one comes first."""
         return responsible_boxes(target, self._coordinators.members())
 
     def _drop_unlisted(self) -> None:
--- a/gladedrum/placing/tests/test_condemned_record.py
+++ b/gladedrum/placing/tests/test_condemned_record.py
@@ -43,7 +43,7 @@
         return Suspicion(self.fleet.clock, self.view, self.beliefs.targets, self.port)
 
     def lose(self, target, digest=BAD):
-        """Lose a request together with a target that ends, as a box's own requests do."""
+        """Record a request of this box as lost with a target that then refuses all boxes."""
         self.losses.note_lost(digest, [target], "r", "org")
         for box in self.fleet.boxes.values():
             box.view.note_refused(target, "somebody", self.fleet.clock.seconds())
@@ -54,6 +54,8 @@
 
 
 class SuspectingFleet(VirtualFleet):
+    """A fleet of such boxes; `lost` returns whether the next datagram is lost."""
+
     box_class = SuspectingBox
 
     def __init__(self, count=BOXES):
--- a/gladedrum/placing/tests/test_repeats.py
+++ b/gladedrum/placing/tests/test_repeats.py
@@ -57,7 +57,7 @@
 
 
 def pooled_fleet(lost=False, boxes=LARGE_FLEET):
-    """Return the clock and the retry pools of a fleet's boxes."""
+    """Return the clock and the retry pools of a fleet's boxes; if `lost`, all questions are."""
     clock = Clock()
     addresses = {f"b{i}": ("10.0.1.1", i) for i in range(boxes)}
     pools = []
@@ -87,7 +87,7 @@
 
 
 def sent_by(clock, pools, seconds):
-    """Return how many retries the boxes get if all ask once per second."""
+    """Return how many retries the boxes get in `seconds` if all ask once per second."""
     count = 0
     for _ in range(seconds):
         clock.advance(1.0)
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -1,7 +1,7 @@
 """Which boxes read engines' reports, and which engines are suspected when a reader stops.
 
-Guards against suspecting an engine because its reader has stopped, and the probe storm that would
-follow. Nine boxes and 18 engines, in virtual time.
+Guards against suspecting an engine because its reader has stopped, and the storm of polls that
+would follow. Nine boxes and 18 engines, in virtual time.
 """
 
 import pytest
@@ -49,7 +49,7 @@
 
 
 class ReadingFleet(VirtualFleet):
-    """Boxes and engines; `asked` records which box asked which engine, and when.
+    """Boxes and engines; `asked` records which box polled which engine, and when.
 
     Engines in `dead` answer no box; each pair of a box and an engine in `cut` has no link.
     """
@@ -73,7 +73,7 @@
         return CallAnswer(200, b"{}")
 
     def reader_of(self, engine):
-        """Return the box that last asked an engine."""
+        """Return the box that last polled an engine."""
         name = [box for _at_s, box, target in self.asked if target == engine][-1]
         return next(box for box in self.boxes.values() if box.beliefs.coordinators.me == name)
 
@@ -143,7 +143,7 @@
     fleet.reader_of("t0").stop()
     before = len(fleet.asked)
     assert fleet.suspected_within(6.0) == set()
-    # No probe storm: no more questions than normally.
+    # No storm of polls: no more of them than normally.
     assert len(fleet.asked) - before <= ENGINES * (6.0 / INTERVAL_S + 1)
 
 
--- a/gladedrum/placing/work_plan.py
+++ b/gladedrum/placing/work_plan.py
@@ -1,4 +1,7 @@
-"""Work plans: the record of a placement, as ledgers keep it and boxes send it to each other."""
+"""Work plans: the record of a placement, as ledgers keep it and boxes send it to each other.
+
+*Work* is one placement of a request on its targets, from the choice until it leaves them.
+"""
 
 from dataclasses import dataclass
 
@@ -16,7 +19,7 @@
     Parameters
     ----------
     work_id : str
-        Unique to the attempt.
+        Unique to the placement: `work_id_of`, and a suffix for each question to a coordinator.
     targets : tuple of str
         The target that answers, then its helpers.
     prompt_tokens, answer_tokens : int
@@ -30,7 +33,7 @@
     reserved : bool
         Whether each target holds the part of the prompt that it reads.
     lost_in_s : float
-        Seconds until its caller leaves if no event has arrived.
+        Seconds until serving it is useless, see `choosing.Demand`.
     digest : bytes
         Digest of the request's content if it is suspected of ending targets, else empty.
     alone : bool
