--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -2,8 +2,8 @@
 
 The age counts from the monotonic time at which the call that last confirmed the copy was *sent*:
 the copy contains every change that the store acknowledged before then. Wall-clock time is never
-used. After a restore from an earlier copy, the store confirms nothing until the operator has had
-time to repeat lost writes.
+used. After a restore of the store from a backup, reads of the store confirm nothing until the
+operator has had time to repeat lost writes.
 """
 
 import logging
@@ -23,9 +23,9 @@
 
 WATCH_S = 1.1
 """Duration of one watch for a newer configuration, in seconds. The store charges per watch. A
-watch confirms the configuration when it ends, so it is well below the bound after which a revoked
-key must be refused. It is longer than the 1 s in which a watch may not yet report that the store
-has dropped its history."""
+watch confirms the configuration when it ends, so its duration is well below the setting
+`key_bound_ms`, after which a revoked key must be refused. It is above 1 s, because the store may
+take that long to report to a watch that the history since its revision was dropped."""
 
 WATCH_GRACE_S = 0.1
 """How late the answer to a watch may be, in seconds; several times the duration of a call. After
@@ -69,7 +69,7 @@
     table : RouteTable or None
         The configuration in force; None before the first read.
     raw : bytes
-        The same as the operator wrote it, to send to peers.
+        The encoded form of `table` as the operator wrote it, to send to peers.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
                 await sleep(self._clock, self._pace.retry_pause_s())
 
     def apply_peer_configuration(self, raw: bytes, confirmed_s: float) -> None:
-        """Apply a newer configuration from a peer that was confirmed at `confirmed_s`."""
+        """Apply a peer's configuration if it is newer; the peer confirmed it at `confirmed_s`."""
         try:
             table = self._feed.decode(raw)
         except MalformedError as exc:
@@ -167,6 +167,8 @@
 
     def _may_rely_on_peers(self) -> bool:
         known = self.table is not None and not self._newer_version_known
+        # While a restored store is distrusted, this box's own reads would confirm nothing. One more
+        # interval lets peers, whose reads count from then on, answer first.
         distrusted = self._clock.seconds() < self._distrusted_until_s + FOLLOW_CHECK_INTERVAL_S
         recent = self.age_s < self._max_age_s or distrusted
         return known and recent and self._pace.follows_peers()
@@ -205,6 +207,8 @@
         self._newer_version_known = False
         before = self.table
         self._apply(update.table, update.raw)
+        # A restored store may hold an older version than the one in force, which confirms nothing.
+        # A newer one confirms even in the time of distrust: it was written after the one in force.
         if update.table is not None:
             self._store_is_behind = update.table.version < self.table.version
         is_distrusted = sent_s < self._distrusted_until_s and self.table is before
--- a/gladedrum/beliefs/coordinators.py
+++ b/gladedrum/beliefs/coordinators.py
@@ -1,8 +1,9 @@
-"""The coordinator group: the boxes that track all requests and decide for the other boxes.
+"""The coordinator group: the boxes that track all requests and place those of the other boxes.
 
-In a small fleet every box is a member. In a large one, sending every change to every box would cost
-datagrams proportional to boxes times requests, so the few boxes with the most cores are members
-and the others ask one of them. Members also read the store on behalf of the others.
+In a small fleet (see `SMALL_FLEET`) every box is a member. In a large one, sending every change to
+every box would cost datagrams proportional to boxes times requests, so the few boxes with the most
+cores are members, and the others ask one of them for a placement. Members of a large fleet's group
+also read the store on behalf of the others; in a small fleet, see `CoordinatorGroup.readers`.
 """
 
 import hashlib
@@ -42,7 +43,8 @@
     me : str
         This box's name.
     peers : callable
-        Returns the other boxes' addresses by name; the same mapping until a box joins or leaves.
+        Returns the other boxes' addresses by name; the same mapping until a box joins or leaves or
+        a capacity changes.
     capacity_of : callable
         Returns the cores that a box may use, by its name; 0 if unknown.
     """
@@ -62,8 +64,9 @@
     def members(self) -> list[str]:
         """Return the members' names.
 
-        In a large fleet all boxes with the same peers return the same order. Cached until a box
-        joins or leaves, since callers use it several times per request and once per datagram.
+        In a large fleet all boxes that know the same boxes return the same order. Cached until
+        `peers` returns another mapping, since this is called several times per request and once
+        per datagram.
         """
         peers = self._peers()
         if peers is not self._cached_peers:
@@ -99,7 +102,8 @@
     def ranked_members(self) -> list[str]:
         """Return the members by precedence; the first one places long prompts.
 
-        While it answers, a single box places all long prompts, so that none collide.
+        While it answers, a single box places all of them, so that no two boxes choose the same idle
+        target at once.
         """
         return sorted(self.members(), key=self._precedence)
 
@@ -116,7 +120,7 @@
         return self._peers().get(name)
 
     def recipients(self) -> list[tuple[str, int]]:
-        """Return the addresses of the other members, which receive all changes of requests."""
+        """Return the addresses of the other members, which are sent each change of a request."""
         peers = self._peers()
         return [peers[name] for name in self.members() if name != self.me]
 
@@ -124,8 +128,8 @@
 def precedence(name: str, capacity: float) -> tuple[float, bytes]:
     """Return a sort key that puts boxes with the most cores first and ties in `rank` order.
 
-    A member's load grows with the fleet, so a small box would answer too late under a burst; see
-    `scheduling.questions`.
+    A member's load grows with the fleet, so a box with few cores would answer too late in a burst
+    of requests; see `scheduling.questions`.
     """
     return -capacity, rank(name)
 
--- a/gladedrum/beliefs/list_parts.py
+++ b/gladedrum/beliefs/list_parts.py
@@ -37,7 +37,10 @@
     entries: Mapping[str, TargetEntry],
     age_s: float,
 ) -> list[ListPart]:
-    """Return the parts that turn `before` into `entries`; all of `entries` if it is None."""
+    """Return the parts that turn `before` into `entries`, or all of `entries` if `before` is None.
+
+    `ask_id` is the question that they answer, `age_s` the age of `entries`.
+    """
     known = before or {}
     rows = [TargetRow(*e) for name, e in sorted(entries.items()) if known.get(name) != e]
     gone = sorted(known.keys() - entries.keys())
--- a/gladedrum/beliefs/membership.py
+++ b/gladedrum/beliefs/membership.py
@@ -1,6 +1,7 @@
 """Membership: which other boxes exist, from entries in the store and from received datagrams.
 
-A registered box has an entry in the store under a lease. In a small fleet every box is registered.
+Each start of a box, which is one run of its process, has its own unique name. A registered box has
+an entry in the store under a lease. In a small fleet every box is registered.
 In a large one only the `REGISTERED_BOXES` boxes with the highest precedence (see `precedence`) are,
 because they may become coordinators; registering every box would cost store calls, log lines and
 announcements that grow with the square of the fleet. Other boxes are known from their datagrams,
@@ -109,8 +110,9 @@
     capacity : float
         The cores that this box may use.
     stagger_s : float
-        On the first start of a fleet, each box delays its first registration check by a fixed
-        share of this time, in seconds; 0 checks at once.
+        On the first start of a fleet, a box that has received the list from a peer delays its first
+        registration check by a share of this time that follows from its name, in seconds; 0 checks
+        at once.
 
     Attributes
     ----------
@@ -163,7 +165,7 @@
         """Addresses of the other boxes: registered ones, and senders of recent datagrams.
 
         Datagrams reveal a new or restarted box before the list does. The same mapping is returned
-        until a box joins or leaves.
+        until a box joins or leaves or a capacity changes.
         """
         if self._clock.seconds() - self._peers_updated_s >= PEER_CHECK_INTERVAL_S:
             self._update_peers()
@@ -203,8 +205,8 @@
     def receive_entries(self, entries: Mapping[str, BoxEntry] | None, revision: Revision) -> bool:
         """Apply a peer's list of entries; return whether it is newer than this box's list.
 
-        `entries` is None if both lists are equal. Coordinators read the list at different times,
-        so older revisions are ignored.
+        `entries` is None if the peer sent none, as when both lists are equal. Coordinators read the
+        list at different times, so older revisions are ignored.
         """
         self._list_received_s = self._clock.seconds()
         if entries is None or revision <= self.revision:
@@ -220,10 +222,10 @@
 
     @property
     def entries_to_send(self) -> dict[str, BoxEntry]:
-        """The entries with the highest precedence, this box's included, for unregistered boxes.
+        """Up to `REGISTERED_BOXES` entries with the highest precedence, for unregistered boxes.
 
-        While a fleet starts, the store may hold more than `REGISTERED_BOXES`, since many boxes
-        read an empty list and register.
+        This box's own entry counts if it is registered. The limit matters while a fleet starts:
+        many boxes read an empty list and register, so the store may hold more entries.
         """
         own = {self.name: BoxEntry(*self._address, self.capacity)} if self._registered else {}
         entries = {**self.entries, **own}
@@ -241,7 +243,10 @@
         return len(self.peers) + 1
 
     def _update_peers(self, reordered: bool = False) -> None:
-        """Update `peers`; `reordered` if capacities changed, which affects precedence."""
+        """Update `peers`; `reordered` if capacities changed, which affects precedence.
+
+        The coordinator group is selected again whenever `peers` is a new mapping.
+        """
         now_s = self._peers_updated_s = self._clock.seconds()
         self._last_datagrams = {
             address: last
@@ -285,7 +290,7 @@
                 await sleep(self._clock, self._rng.uniform(*_RETRY_PAUSE_S))
                 continue
             await self._pause(self._renew_interval_s * self._rng.uniform(0.8, 1.0))
-        # The process ends soon; the supervisor would run a task that returns again.
+        # The process ends soon; if this returned, the supervisor would restart the task.
         await sleep(self._clock, 3600)
 
     async def _pause(self, pause_s: float) -> None:
@@ -298,7 +303,7 @@
             self._wakeup = None
 
     def note_store_restored(self) -> None:
-        """Discard the lease after the store was restored from an earlier copy.
+        """Discard the lease after the store was restored from a backup.
 
         The store may have reissued the lease's number to another box, so it is neither renewed nor
         ended. The next refresh, within `RESTORE_JITTER_S`, registers again and reads the list.
@@ -314,8 +319,9 @@
             wakeup.callback(None)
 
     async def _wait_for_turn(self) -> None:
-        """Wait until boxes of higher precedence have registered, then read the list.
+        """Wait for this box's share of `stagger_s`, then read the list.
 
+        The share follows from `rank`, so that boxes with equal cores check in order of precedence.
         The read may be stale: at worst this box registers needlessly and unregisters at its next
         refresh.
         """
@@ -369,7 +375,7 @@
         if self._lease is not None and self._registered and lease_s <= self._lease_s:
             await self._store.keep_lease(self._lease)
             return False
-        # Stored before the entry is written, so that a stop in between still ends the lease.
+        # Assigned before the entry is written, so that a planned stop in between ends the lease.
         self._lease = await self._store.grant_lease(lease_s)
         self._lease_s = lease_s
         self._registered = False
--- a/gladedrum/beliefs/peer_sync.py
+++ b/gladedrum/beliefs/peer_sync.py
@@ -1,19 +1,20 @@
 """Synchronisation between peers: few boxes read the store and keep the others up to date.
 
-In a large fleet the members of the coordinator group read the store. In a small one, two readers
-read the list of targets for all, and each box follows the configuration itself. The other boxes ask
-one of them in turn; a box that cannot reach the store asks any member. An answer names versions and
-their ages. If a version equals the box's own, the answer confirms it: its age becomes the peer's
-age plus the time since the question was sent, regardless of delays. Different lists of targets or
-boxes and a newer configuration are sent with the answer; a large configuration is read from the
-store. If nobody answers, the box reads the store itself. On the wire, a question is a `VouchAsk`
-and an answer a `VouchNote`.
+In a large fleet the members of the coordinator group read the store and are called readers. In a
+small one, two readers read the list of targets for all, and each box follows the configuration
+itself. A box that is no reader asks the readers one after another, with one question per interval;
+a box whose configuration is stale asks all members in this way. An answer names versions and their
+ages. If a version equals the box's own, the answer confirms it: its age becomes the peer's age plus
+the time since the question was sent, regardless of delays. Different lists of targets or boxes and
+a newer configuration are sent with the answer; a large configuration is read from the store. If
+nobody answers, the box reads the store itself. On the wire, a question is a `VouchAsk` and an
+answer a `VouchNote`.
 
 Both sides also compare checksums of the losses that they know (see `KnownLosses`), and send theirs
 if they differ.
 
-A starting box asks the seeds in its settings. So it serves within milliseconds even during an
-outage of the store, and a rolling restart of the fleet costs no store calls.
+A starting box asks its seeds, a few boxes that its settings name. So it serves within milliseconds
+even during an outage of the store, and a rolling restart of the fleet costs no store calls.
 """
 
 import itertools
@@ -99,7 +100,7 @@
     table : TableInForce
         The table of weights and limits.
     table_follower : TableFollower
-        Notified of the revision that peers have.
+        Notified of the revision of the table that peers have.
     pace : StorePace
         Notified of peers' answers.
     losses : KnownLosses
@@ -268,6 +269,8 @@
         boxes_revision = Revision(answer.boxes_era or 0, answer.boxes_revision or 0)
         is_newer = self._registry.receive_entries(boxes, boxes_revision)
         if answer.version is None:
+            # Sent by a box that is no member or has no configuration: it only names boxes. If they
+            # are news, a member may be among them, so ask again.
             if is_newer:
                 self._ask()
             return
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -43,7 +43,7 @@
 """How long a box that knows targets but no peers does no work on behalf of the fleet, in seconds.
 
 It may be one of hundreds that started at once during an outage of the store; if each
-assumed that it is the only box, all of them would read the load of every engine.
+assumed that it is the only box, all of them would read the load of every target.
 """
 
 SEED_CHECK_INTERVAL_S = 0.003
@@ -151,7 +151,7 @@
         store.on_restored.append(self._on_store_restored)
 
     def _on_store_restored(self, previous_era: int, era: int) -> None:
-        """Notify every follower that the store was restored from an earlier copy."""
+        """Notify every follower that the store was restored from a backup."""
         extra = {
             "era": era,
             "before": previous_era,
@@ -226,11 +226,11 @@
         return known or Service(name)
 
     def policy(self, organisation: str, route: str) -> str:
-        """Return the name of the policy for an organisation and a route."""
+        """Return the name of the policy in the table for an organisation and a route."""
         return self.table.table.effective(organisation, route).name("policy")
 
     def engines(self) -> list[TargetEntry]:
-        """Return the targets that report their load: those of services that have an engine."""
+        """Return the targets that report their load: those of services with model engines."""
         entries = self.targets.entries.values()
         return [entry for entry in entries if self.service(entry.service).engine is not None]
 
--- a/gladedrum/beliefs/store_pace.py
+++ b/gladedrum/beliefs/store_pace.py
@@ -33,7 +33,8 @@
     rng : random.Random
         Adds jitter to retries.
     follows_peers : callable
-        Returns whether this box relies on peers that read the store.
+        Returns whether this box relies on peers that read the store, as it does outside the
+        coordinator group of a large fleet.
     follows_list : callable
         As `follows_peers`, for the list of targets alone.
     """
--- a/gladedrum/beliefs/target_list.py
+++ b/gladedrum/beliefs/target_list.py
@@ -1,9 +1,11 @@
 """The box's copy of the list of targets, and its age.
 
 As for the configuration, the age counts from the *sending* of the call that last confirmed the
-list. A target that is leaving or gone stays so until a later start of it is seen under the same
-name; entries of earlier starts are ignored. Targets also announce themselves that they are leaving,
-since the store may be unavailable or hold an older entry.
+list. A start of a target is one run of its process; `TargetEntry.born` tells the starts apart. A
+target that is leaving stays so until a later start of it is seen under the same name; entries of
+earlier starts are ignored. A gone target is brought back by a later start, or by a read of the
+store except soon after a restore (see `RESTORE_HOLD_S`). Targets also announce to boxes that they
+are leaving, since the store may be unavailable or hold an older entry.
 """
 
 import hashlib
@@ -21,10 +23,10 @@
 __all__ = ["TargetListFollower"]
 
 READ_INTERVAL_FRACTION = 0.4
-"""Interval between reads of the list, as a fraction of the leave bound. Two reads fit in it."""
+"""Interval between reads of the list, as a fraction of `leave_bound_s`, in which two reads fit."""
 
 PEER_LIST_AGE_FRACTION = 0.75
-"""Age up to which a box relies on its peers' list, as a fraction of the leave bound. It allows for
+"""Age up to which a box relies on its peers' list, as a fraction of `leave_bound_s`. It allows for
 the age of a reader's list and two questions to readers."""
 
 REAPPEAR_GRACE_S = 2.2
@@ -36,8 +38,9 @@
 which leases of entries may have expired."""
 
 RESTORE_HOLD_S = 6.0
-"""How long a restored store cannot bring back a gone target, in seconds. A stale entry expires
-after three heartbeats of 1.2 to 1.5 s; an entry listed later belongs to a live target."""
+"""How long reads of a restored store do not bring back a gone target, in seconds. The entry of a
+target that has ended expires after three heartbeats of 1.2 to 1.5 s, so an entry that is listed
+after this time belongs to a live target."""
 
 MAX_NAMES_LOGGED = 8
 """Names of leaving targets in the log line about a box's first list."""
@@ -141,7 +144,7 @@
         return True
 
     def note_start(self, name: str, born: int) -> None:
-        """Record a later start of a target than the listed one; it supersedes the earlier one."""
+        """Record a start that a target has reported; it supersedes an earlier listed one."""
         entry = self.entries.get(name)
         if entry is not None and entry.born < born:
             leaving = self._leaving_starts.get(name, 0) >= born
@@ -187,10 +190,10 @@
     def apply_peer_list(self, listed: Mapping[str, TargetEntry], read_s: float) -> None:
         """Apply a peer's whole list, which was confirmed at `read_s`.
 
-        Gone targets are not brought back, since the peer may still keep their entries after an
-        outage; only a read of the store does. A list with such a target does not confirm this
-        box's list, so the box reads the store once its own is too old. Leaving targets are taken
-        from a list of any age, because leaving is final.
+        A gone start of a target is not brought back, since the peer may still keep its entry after
+        an outage; only a read of the store does that. A later start is accepted. A list with a gone
+        start does not confirm this box's list, so the box reads the store once its own is too old.
+        Leaving targets are taken from a list of any age, because leaving is final for a start.
         """
         for entry in listed.values():
             if entry.leaving:
@@ -198,7 +201,8 @@
         known_s = max(self._confirmed_s, self._peer_list_s)
         if read_s <= known_s:
             return
-        # Successive lists show that the store answers peers; only this box cannot reach it.
+        # A long gap between lists means that peers could not read the store either. Without a gap,
+        # only this box cannot reach it, and no entries have expired.
         if not self._connected and read_s - known_s > self._max_age_s + OUTAGE_THRESHOLD_S:
             self._note_outage()
         # Set even if the list confirms nothing: an older list must not remove its new targets.
@@ -278,7 +282,11 @@
         self._on_gone(entry)
 
     def _merge_entry(self, entry: TargetEntry) -> TargetEntry:
-        """Return the entry with what is known of its target; leaving is final for a start."""
+        """Return a listed entry, corrected by what this box knows of the target's starts.
+
+        A start that is known to be leaving stays leaving. An entry that names no start (`born` is
+        0) counts as one of the known start.
+        """
         before = self.entries.get(entry.name)
         if before is not None and 0 < entry.born < before.born:
             return before
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -1,7 +1,7 @@
 """Simulated fleet for tests: the real state followers of many boxes on one virtual clock.
 
 No sockets and no processes. The store answers after a delay, counts calls, can be unavailable,
-expires leases and can be restored from a copy. Datagrams take `DATAGRAM_DELAY_S`.
+expires leases and can be restored from a snapshot. Datagrams take `DATAGRAM_DELAY_S`.
 """
 
 import json
@@ -66,7 +66,9 @@
 class VirtualStore:
     """In-memory store on a virtual clock.
 
-    `calls` counts calls by kind, `listed` reads of a list by prefix.
+    `calls` counts calls by kind: "list op" reads the configuration, "list servers" the targets,
+    "list gladedrum" boxes or the table; "stale list" is a stale read of any list. `listed` counts
+    reads of a list by prefix.
     """
 
     def __init__(self, clock: Clock):
@@ -89,7 +91,7 @@
         self._copy = self.revision, self._next_lease, [dict(row) for row in rows]
 
     def restore_snapshot(self) -> None:
-        """Restore the copy; targets and the operator write theirs again at once."""
+        """Restore the snapshot; targets and the operator write their entries again at once."""
         written = {
             key: item.value
             for key, item in self._items.items()
@@ -259,7 +261,10 @@
         return NoLosses()
 
     def leave(self) -> None:
-        """Begin a planned stop; the box still serves."""
+        """Begin a planned stop; the box still serves.
+
+        In a large fleet its entry is removed now, in a small one only at the end.
+        """
         if not self.beliefs.coordinators.is_whole_fleet:
             start(self.beliefs.registry.leave())
 
--- a/gladedrum/beliefs/tests/test_expired_entries.py
+++ b/gladedrum/beliefs/tests/test_expired_entries.py
@@ -1,8 +1,8 @@
-"""Entries that expired in an outage of the store may reappear; a peer's list does not end them.
+"""Entries that expired in an outage of the store may reappear; a peer's list does not remove them.
 
 Guards against a box that drops such targets because the list of a peer that started in the outage
-lacks them. Peers' later lists name them; if those confirmed the box's own, it would never read the
-store again.
+lacks them. Also guards against a box that never reads the store again, and so never gets dropped
+targets back, because later lists of peers that name them confirm its own list.
 """
 
 from twisted.internet.task import Clock
--- a/gladedrum/beliefs/tests/test_fleet.py
+++ b/gladedrum/beliefs/tests/test_fleet.py
@@ -90,7 +90,7 @@
 
 
 def test_boxes_that_start_in_an_outage_do_not_assume_that_they_are_alone():
-    """Thundering herd: otherwise every box reads the load of all engines after a power failure."""
+    """Thundering herd: otherwise every box reads the load of all targets after a power failure."""
     fleet = VirtualFleet(0)
     fleet.store.unavailable = True
     for number in range(20):
@@ -100,7 +100,7 @@
     beliefs = [box.beliefs for box in fleet.boxes.values()]
     for _ in range(15):
         fleet.run(0.1)
-        # Only the first registered box may read engines' load without knowing its peers.
+        # Boxes that take the fleet for a small one read targets' load; few may do so.
         informed = [belief for belief in beliefs if belief.is_informed and belief.knows_peers()]
         assert sum(belief.coordinators.is_whole_fleet for belief in informed) <= SMALL_FLEET
     assert len(informed) == len(beliefs)
--- a/gladedrum/beliefs/tests/test_peer_list_order.py
+++ b/gladedrum/beliefs/tests/test_peer_list_order.py
@@ -1,4 +1,4 @@
-"""Order of peers' lists, and outages, when a list does not confirm this box's own."""
+"""Peers' lists that arrive out of order or around an outage, to a box that relies on them."""
 
 from twisted.internet.task import Clock
 
@@ -11,7 +11,7 @@
 
 
 def follower(*listed):
-    """Return a box that relies on its peers' list and has read it once."""
+    """Return the list of a box that relies on peers, after one read of `listed` from the store."""
     clock, feed, gone = Clock(), ScriptedFeed(), []
     targets = TargetListFollower(
         clock, feed, 2.0, lambda entry: gone.append(entry.name), pace(clock, follows_list=True)
@@ -28,7 +28,7 @@
     targets.apply_peer_list({"a": A}, 0.4)
     assert gone == ["b"]
     clock.advance(0.6)
-    # b has restarted and c is new, in a list confirmed at 1.0.
+    # b is listed again and c is new, in a list confirmed at 1.0.
     targets.apply_peer_list({"a": A, "b": B, "c": C}, 1.0)
     assert targets.accepts_requests("c")
     # A list of another reader, confirmed at 0.8.
@@ -56,7 +56,7 @@
 
 
 def test_a_gone_target_is_removed_while_only_this_box_cannot_read_the_store():
-    """Failed reads alternate with peers' lists; a list must not count as the end of an outage."""
+    """Failed reads alternate with peers' lists; a list must not start another grace period."""
     clock, feed, targets, _gone = follower(A, B)
     gone_s = 10.0
     while clock.seconds() < gone_s + 2 * REAPPEAR_GRACE_S:
--- a/gladedrum/beliefs/tests/test_peer_sync.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -305,7 +305,10 @@
 
 
 def send_configuration(member_version, asker_version, raw, lost=()):
-    """Return the asking box and the wire after a member with its own version has answered."""
+    """Return the asking box and the member's wire, after the member has answered.
+
+    The parts of the configuration whose numbers are in `lost` do not arrive.
+    """
     clock = Clock()
     clock.advance(10.0)
     member, member_wire = box(clock, True, member_version, read_s=9.5)
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -1,4 +1,4 @@
-"""Restore of the store from a copy some seconds old, against the stand-in.
+"""Restore of the store from a backup some seconds old, against the stand-in for the store.
 
 A restored store reissues revisions and leases. Guards against missing a configuration written under
 a reissued revision, against lists that omit boxes started after the restore, and against renewing
@@ -105,7 +105,7 @@
         for _ in range(40):
             await sleep(reactor, 0.05)
             assert configuration.table.version == 2
-            # A restored copy does not contain changes made since it was taken.
+            # The backup lacks changes made since it was taken, so reads of it confirm nothing.
         assert configuration._confirmed_s <= confirmed_s + 1.3
         assert await self.until(lambda: configuration.age_s < 0.5, 4.0)
 
