--- a/gladedrum/forward/__init__.py
+++ b/gladedrum/forward/__init__.py
@@ -1,7 +1,8 @@
-"""Forwarding of requests by the operator's routes, and the box that does it.
+"""The lifecycle of forwarded requests, and the box that forwards them by the operator's routes.
 
-Requests come from `connections`; admission, attempts and relaying lead to one outcome each. The
-package may import `beliefs`, `placing`, `connections` and `gossip`, which do not import it.
+Requests come from `connections`. Each is admitted, sent to targets in one or more attempts, and has
+one outcome. The package may import `beliefs` (the box's copies of shared state), `placing`,
+`scheduling`, `connections` and `gossip`, which do not import it.
 """
 
 from .settings import *
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -39,7 +39,7 @@
 
     @property
     def urgency(self) -> int:
-        """The rank of the organisation if it has one, else the rank of the route."""
+        """The rank of the organisation if it has one, else of the route; 0 is the most urgent."""
         if self.organisation is not None and self.organisation.rank is not None:
             return self.organisation.rank
         return self.route.rank
--- a/gladedrum/forward/attempt_ends.py
+++ b/gladedrum/forward/attempt_ends.py
@@ -1,6 +1,7 @@
 """The ways in which an attempt ends, and what each reports about its target.
 
-The class names appear in log lines as `end`.
+Some are reasons why no attempt was sent; those of placement are defined in `placing.choosing`. The
+class names appear in log lines as `end`.
 """
 
 from dataclasses import dataclass
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The answer was sent, or the request ended in another way."""
+    """The request has ended: its answer was sent, or its time was up."""
 
     outcome: Outcome
 
--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -3,6 +3,9 @@
 An attempt is one send of a request to a target. Before it is sent it needs a placement, a grant
 from the retry budget unless it is the first, and memory reservations on helping engines if its
 prompt is read by several.
+
+What an attempt costs its targets is called its work (`WorkPlan`). For each target a box keeps a
+ledger of the work placed there, and tells other boxes by gossip when work starts, changes or ends.
 """
 
 import itertools
@@ -195,10 +198,11 @@
         self.appears_lost = idle or report.memory_used < held
 
     def note_restart(self, name: str, now_s: float) -> bool:
-        """Record that a target has restarted; return whether that affects this attempt.
+        """Record that a target has restarted; return whether this or an earlier restart matters.
 
         An attempt sent shortly before the restart was noticed may run on the new start.
         """
+        # Helpers are needed until the prompt is read, and longer if they hold reserved memory.
         needed = {self.target}
         if self.choice.reserved or not self._has_begun:
             needed.update(self.choice.names)
@@ -215,7 +219,10 @@
         self.ctx.port.broadcast_work(note_from_plan(self.plan, gossip.FIRST_EVENT))
 
     def end(self, change: int) -> None:
-        """Release what the attempt holds and report how it ended. Later calls do nothing."""
+        """Release what the attempt holds and report how it ended. Later calls do nothing.
+
+        `change` is the way in which its work ended, such as `gossip.ENDED` or `gossip.WITHDRAWN`.
+        """
         if self.ended:
             return
         self.ended = True
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -107,7 +107,8 @@
         )
         self._pool.gate = self._statements
         self._suspicion = Suspicion(reactor, self._view, self._targets, self._gossip)
-        # At the first start of a fleet there are no condemned requests to learn.
+        # At the first start of a fleet no request is condemned yet, so there are none to learn from
+        # peers or the store.
         self._suspicion.is_informed = settings.waits_for_seeds
         self._record = CondemnedRecord(
             reactor, store, self._beliefs.registry, self._suspicion, self._is_reader
@@ -349,6 +350,10 @@
     # Targets and peers.
 
     def _forget_target(self, entry: TargetEntry) -> None:
+        """Drop the state of a target that is not listed any more.
+
+        Its end can be the effect of a request that crashes targets, unless it was leaving.
+        """
         if not entry.leaving:
             self._view.note_gone(entry.name, entry.born, self._reactor.seconds())
         self._view.forget(entry.name)
@@ -406,7 +411,7 @@
         )
 
     async def _table_states(self) -> list[TableState]:
-        """Return the state of the table at this box; the states of other boxes are not known."""
+        """Return the state of the table of weights and limits, which is known for this box only."""
         table = self._beliefs.table
         return [TableState(box=self.name, revision=table.table.revision, age_s=table.age_s)]
 
--- a/gladedrum/forward/condemned_page.py
+++ b/gladedrum/forward/condemned_page.py
@@ -1,6 +1,7 @@
 """The operators' page of condemned requests, which lists them and lifts single ones.
 
-A request is condemned if it is known to crash the targets that run it.
+A request is condemned, and refused by all boxes, if it is known to crash the targets that run it.
+To lift it is to end its condemnation, so that it may be sent to targets again.
 """
 
 import json
--- a/gladedrum/forward/context.py
+++ b/gladedrum/forward/context.py
@@ -34,16 +34,28 @@
         The data hall of the box.
     clock : IReactorTime
         A monotonic clock.
-    admission, targets, chooser, placer, view, pool, port : various
-        Parts of the box, see their classes.
+    admission : Admission
+        Checks routes and API keys.
+    targets : TargetListFollower
+        The list of targets.
+    chooser, placer : Chooser and Placer
+        Place requests: from this box's own view, and in coordination with the other boxes.
+    view : FleetView
+        What is known of each target: its work, reports and failures.
+    pool : TargetPool
+        Connections to targets.
+    port : GossipPort
+        Datagrams to and from the other boxes.
     retry_pool : RetryPool
         The retry budget.
     suspicion : Suspicion
         Knows which requests are suspected of crashing targets.
     rates : TargetRates
         The request rates that targets state.
-    free_bound_s, reservation_most_s : float
-        See `ForwardSettings`.
+    free_bound_s : float
+        Time after the end of a request within which its memory must be free, in seconds.
+    reservation_most_s : float
+        The longest time for which one call may reserve memory on an engine, in seconds.
     metrics : ForwardMetrics
         The box's metrics.
     service_of : callable
--- a/gladedrum/forward/hedging.py
+++ b/gladedrum/forward/hedging.py
@@ -2,7 +2,8 @@
 
 Silence alone never ends an attempt. It starts a search for a further target; the request is sent
 there only once the hedge has a placement, a retry grant and its memory reservations. The first
-attempt that delivers something new wins and the others are ended. A failed attempt ends alone.
+attempt that delivers something new wins and the others are ended. If an attempt fails, the others
+go on.
 """
 
 import logging
@@ -92,6 +93,7 @@
         """
         self._caller_reads = on
         self._hedge_wanted = self._hedge_wanted and on
+        # Wakes `run`, which computes the time of the next check.
         self.mailbox.put(TimedOut())
 
     def on_target_restarted(self, name: str) -> None:
@@ -101,6 +103,7 @@
         for attempt in affected:
             attempt.relay.next_check_s = min(attempt.relay.next_check_s, now_s)
         if affected:
+            # Wakes `run`, which checks at once.
             self.mailbox.put(TimedOut())
 
     async def run(self) -> AttemptEnd:
@@ -137,7 +140,10 @@
         return None if end is None else self._end(attempt, end)
 
     def _cancel_others(self, winner: Attempt) -> None:
-        """End all attempts except the one that has made progress."""
+        """End all attempts except the one that has made progress.
+
+        An older attempt counts as failed unless its silence is explained.
+        """
         self._hedge_wanted = False
         before = self._attempts.index(winner)
         for index, attempt in enumerate(self._attempts):
--- a/gladedrum/forward/metrics.py
+++ b/gladedrum/forward/metrics.py
@@ -8,7 +8,13 @@
 
 
 class ForwardMetrics:
-    """Every metric that a forwarding box exports, on a registry of its own."""
+    """Every metric that a forwarding box exports, on a registry of its own.
+
+    Some exported names use other words than the code: a *repeat* is an attempt after the first, a
+    *place* is a slot in a target's rate limit, a *resting* target has requested a backoff, and a
+    *barred* request was refused because it is condemned. The store's *era* changes when the store
+    is restored from a copy.
+    """
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -55,7 +55,7 @@
 
 LATEST_HEDGE_SHARE = 0.7
 """A late stream of a target that still reports is hedged only after this share of the caller's
-timeout: the target is busy, and a hedge repeats the cost of the prompt without being in time."""
+timeout: the target is busy, and a hedge would read the prompt again and be late as well."""
 
 CHECK_INTERVAL_S = 0.1
 """Interval between checks of a silent target, in seconds."""
@@ -89,7 +89,7 @@
     next_check_s : float
         When to call `needs_hedge` if no message comes before, by the monotonic clock.
     delivered : bool
-        Whether a part of this attempt's answer was sent to the caller.
+        Whether the head or a part of this attempt's answer was sent to the caller.
     made_progress : bool
         Whether the last message sent something new to the caller; the user of the relay resets it.
     """
--- a/gladedrum/forward/request_log.py
+++ b/gladedrum/forward/request_log.py
@@ -29,8 +29,10 @@
 ) -> None:
     """Log the placement of an attempt and the predictions that it is based on.
 
-    `number` counts the attempts of the request from 1. `in_progress` is the number of other
-    attempts that this one hedges.
+    `number` counts the attempts of the request from 1 and is logged as `offer`. `in_progress` is
+    the number of other attempts that this one hedges, logged as `hedge_of`. In the line, `beside`
+    is the number of other requests in the target's ledger, and `loss` the expected loss of worth
+    over all requests.
     """
     state = ctx.view.state(choice.main.name)
     now_s = ctx.clock.seconds()
@@ -116,7 +118,11 @@
     attempt_count: int,
     times: EventTimes,
 ) -> None:
-    """Log and count the end of a request; `admitted` and `demand` are None if not admitted."""
+    """Log and count the end of a request; `admitted` and `demand` are None if not admitted.
+
+    In the line, `offers` is the number of attempts, `offered_s` the time from the arrival to the
+    first attempt, and `pause_limit_s` the route's pause objective.
+    """
     name = outcome_name(outcome)
     took_s = ctx.clock.seconds() - req.arrived_s
     ctx.metrics.outcomes.labels(name).inc()
--- a/gladedrum/forward/request_task.py
+++ b/gladedrum/forward/request_task.py
@@ -59,7 +59,8 @@
 can still be served in time by another box."""
 
 RETRY_AFTER_SPREAD = 1.5
-"""Maximum random factor on the Retry-After of refusals when all targets are closed or leaving."""
+"""Maximum random factor on the Retry-After of refusals when all targets are leaving or closed (take
+no request now, because of their rate limit or a backoff)."""
 
 MAX_WITHHELD = 3
 """Maximum number of attempts that are withheld (see `Withheld`); then the request is refused."""
@@ -69,7 +70,7 @@
 
 FRESH_REPORT_AGE_S = 0.9
 """Maximum age of a report that is used without asking the engine for a new one, in seconds: two
-intervals between reports."""
+intervals between reports and a margin."""
 
 DEFAULT_TIME_LIMIT_S = 600.0
 """Time limit of a request whose caller names none, in seconds; the route's limit holds as well."""
@@ -269,9 +270,11 @@
                 self._dispatcher.undo_send(ended)
 
     def _note_suspicion(self, ended: Attempt, end: AttemptEnd, helper: str | None) -> None:
-        """Record whether an attempt is evidence that the request crashes its targets.
+        """Record evidence from an ended attempt on whether the request crashes its targets.
 
-        Helping engines may have crashed as well; `Suspicion` finds out later which ones did.
+        If the attempt was lost, any of its engines may have crashed, and if a helping engine was at
+        fault, that engine; `Suspicion` finds out later which ones did. An answer is evidence
+        against a crash.
         """
         suspicion, admitted = self._ctx.suspicion, self._admitted
         names = ended.choice.names if isinstance(end, Lost) else [helper] if helper else []
@@ -407,7 +410,7 @@
             case AllTargetsClosed(retry_after_s=retry_after_s):
                 return await self._wait_or_refuse(retry_after_s)
             case Withheld(reason=reason):
-                # Another target may be free: the attempt waited for a connection, not for room.
+                # Placed again without a pause, as another target may take the request at once.
                 is_over = self._now_s() >= self._deadline_s or self._withheld_count >= MAX_WITHHELD
                 return self._give_up(reason) if is_over else None
             case Refused(reason=reason):
@@ -445,6 +448,7 @@
         return retry_after_s * self._ctx.rng.uniform(1.0, RETRY_AFTER_SPREAD)
 
     def _count_run(self) -> None:
+        """Count an attempt that may have run; later refusals can't state that nothing ran."""
         self._run_count += 1
         self._demand = replace(self._demand, committed=True)
 
--- a/gladedrum/forward/reservations.py
+++ b/gladedrum/forward/reservations.py
@@ -63,8 +63,8 @@
     max_hold_s : float
         The longest hold that one call may ask for, in seconds.
     start_of : callable
-        Returns the latest known start of an engine, by name. Memory does not survive a restart, so
-        a reservation made at an earlier start is neither renewed nor released.
+        Returns the latest known start of an engine by name, 0 if unknown. Memory does not survive a
+        restart, so a reservation made at an earlier start is neither renewed nor released.
     backoff_of : callable
         Returns for how many more seconds an engine has asked this box to send nothing, by name.
     """
@@ -142,7 +142,11 @@
         return answer is not None
 
     async def _renew_once(self, entry: TargetEntry) -> bool:
-        """Renew a reservation; release it at once if a later start of the engine has made it."""
+        """Renew a reservation; return whether the engine has accepted the renewal.
+
+        An engine that has restarted makes a new reservation instead. It is released at once, since
+        the part of the prompt that was read is gone.
+        """
         answer = await self._reserve(entry, CallKind.RENEW)
         if answer is None:
             return False
--- a/gladedrum/forward/settings.py
+++ b/gladedrum/forward/settings.py
@@ -1,6 +1,7 @@
 """The settings of a forwarding box.
 
-Most are set by the platform through `deploy/settings.ini`; times there are in milliseconds.
+Most are set by the platform through `deploy/settings.ini`. The suffix of a name gives its unit:
+``_ms`` for milliseconds, ``_s`` for seconds.
 """
 
 import configparser
@@ -92,9 +93,10 @@
 class ForwardSettings(NamedTuple):
     """The values of the section, with times in seconds and parsed addresses.
 
-    Attributes have the names and meanings of the settings. In addition, `capacity` is the
-    number of cores that this box may use (0: not known), `seeds` excludes this box, and
-    `waits_for_seeds` is true if the fleet starts for the first time and this box is not a seed.
+    Attributes have the names and meanings of the settings, with the suffix ``_s`` for ``_ms``,
+    except that `capacity` is the number of cores that this box may use (0: not known), `seeds`
+    excludes this box, and `waits_for_seeds` is true if the fleet starts for the first time and this
+    box is not a seed.
     """
 
     callers: tuple[str, int]
@@ -128,9 +130,10 @@
 
 
 def callers_address(path: str) -> tuple[str, int] | None:
-    """Return the address for callers, None if the settings file is missing it or invalid.
+    """Return the address for callers, None if the settings file or the address is invalid.
 
-    Used to listen early, before all settings are declared.
+    A file that does not set it gives the default. Used to listen before the modules of the box,
+    which declare the other settings, are imported.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
--- a/gladedrum/forward/tests/crashing_fleet.py
+++ b/gladedrum/forward/tests/crashing_fleet.py
@@ -92,7 +92,7 @@
     # Interface for tests.
 
     def start_box(self, name: str) -> World:
-        """Start a box, or restart it, and return it; the caller puts it into `boxes`."""
+        """Start or restart a box and return it; the test has to put it into `boxes`."""
         targets, keys, route = self._route
         fields = {"streaming": True, "resumable": True, "max_targets": 2, "pause_objective_s": 0.25}
         peers = {peer: at for peer, at in self._addresses.items() if peer != name}
--- a/gladedrum/forward/tests/test_crashing_request.py
+++ b/gladedrum/forward/tests/test_crashing_request.py
@@ -13,7 +13,10 @@
 
 
 def sent_late(fleet: CrashingFleet) -> int:
-    """Send a deadly request many times; return how often engines got it after it was known."""
+    """Send a deadly request many times; return how often engines got it after three crashes.
+
+    Counts from `PROPAGATION_S` after the third crash.
+    """
     for _ in range(ARRIVALS):
         fleet.send_request(b"deadly")
         fleet.advance(INTERVAL_S)
--- a/gladedrum/forward/tests/test_hedging_edge_cases.py
+++ b/gladedrum/forward/tests/test_hedging_edge_cases.py
@@ -159,7 +159,8 @@
 def test_the_last_request_of_a_stopping_box_ends_before_the_process():
     """Guards against reporting a healthy engine as failed.
 
-    A request that is still open when the process ends takes its closing connection for a crash.
+    The end of the process closes the connections to targets. A request that is still open then
+    would take that for a failure of its target.
     """
     world = World(time_limit_s=30.0)
     caller, _target = send_and_connect(world)
--- a/gladedrum/forward/tests/test_target_restart.py
+++ b/gladedrum/forward/tests/test_target_restart.py
@@ -112,7 +112,7 @@
 
 
 def test_memory_reserved_by_a_not_yet_known_start_is_kept():
-    """The answer to a reservation states which start holds the memory, not the list of targets."""
+    """The start that holds the memory is the one in the engine's answer, even if not listed yet."""
     world = long_world()
     report_start(world, OLD)
     world.caller().send_request(b"body", extra=b"x-gladedrum-token-usage: 300000,100\r\n")
--- a/gladedrum/forward/tests/test_withheld.py
+++ b/gladedrum/forward/tests/test_withheld.py
@@ -1,7 +1,7 @@
 """Attempts that are withheld: their target announces leaving or a backoff before they are sent.
 
 Guards against counting an unsent attempt as a sent one, charging it to the retry budget, and
-refusing its request.
+refusing its request while another target is free.
 """
 
 import pytest
