--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -388,8 +388,8 @@
     def _check_bounds_locally(self, demand: Demand, bounds: PlacementBounds) -> Refused | None:
         """Check the bounds against a placement from this box's own view.
 
-        A hedge that is rejected here is neither noted in ledgers nor counted as an arrival of a
-        long prompt.
+        A hedge that is rejected here is neither noted in ledgers nor counted in
+        `FleetView.long_prompt_arrivals`.
         """
         if bounds is NO_BOUNDS:
             return None
