--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -66,7 +66,7 @@
 
     Attributes
     ----------
-    table : RouteTable or None
+    in_force : Configuration or None
         The configuration in force; None before the first read.
     raw : bytes
         The same as the operator wrote it, to send to peers.
@@ -140,13 +140,13 @@
     def apply_peer_configuration(self, raw: bytes, confirmed_s: float) -> None:
         """Apply a newer configuration from a peer that was confirmed at `confirmed_s`."""
         try:
-            table = self._feed.decode(raw)
+            configuration = self._feed.decode(raw)
         except MalformedError as exc:
             _log.warning("cannot decode a peer's configuration", extra={"reason": str(exc)})
             return
-        if self.table is not None and table.version <= self.table.version:
+        if self.table is not None and configuration.version <= self.table.version:
             return
-        self._apply(table, raw)
+        self._apply(configuration, raw)
         self._newer_version_known = False
         self._confirmed_s = max(self._confirmed_s, confirmed_s)
 
@@ -211,16 +211,20 @@
         if not is_distrusted and not self._store_is_behind:
             self._confirm(sent_s)
 
-    def _apply(self, table: RouteTable | None, raw: bytes = b"") -> None:
-        if table is None:
+    def _apply(self, configuration: RouteTable | None, raw: bytes = b"") -> None:
+        if configuration is None:
             return
-        in_force = self.table.version if self.table is not None else -1
-        if table.version <= in_force:
+        known_version = self.table.version if self.table is not None else -1
+        if configuration.version <= known_version:
             return
-        self.table, self.raw = table, raw
+        self.table, self.raw = configuration, raw
         _log.info(
             "configuration in force",
-            extra={"version": table.version, "before": in_force, "routes": len(table.routes)},
+            extra={
+                "version": configuration.version,
+                "before": known_version,
+                "routes": len(configuration.routes),
+            },
         )
 
     def _confirm(self, sent_s: float) -> None:
--- a/gladedrum/beliefs/peer_sync.py
+++ b/gladedrum/beliefs/peer_sync.py
@@ -185,8 +185,8 @@
 
     @property
     def _version(self) -> int:
-        table = self._configuration.table
-        return table.version if table is not None else -1
+        configuration = self._configuration.table
+        return configuration.version if configuration is not None else -1
 
     def _address_to_ask(self) -> tuple[str, int] | None:
         """Return the next box to ask: a reader, or any member if the configuration is stale."""
@@ -206,12 +206,12 @@
 
     def _answer(self, ask: VouchAsk, address: tuple[str, int]) -> None:
         self._compare_losses(ask.losses, address)
-        table = self._configuration.table
-        if table is None or not self._coordinators.includes_me():
+        configuration = self._configuration.table
+        if configuration is None or not self._coordinators.includes_me():
             self._send_boxes(ask, address)
             return
         self._send_configuration(ask, address)
-        answer = VouchNote(ask.ask_id, table.version, self._configuration.age_s)
+        answer = VouchNote(ask.ask_id, configuration.version, self._configuration.age_s)
         # Boxes that have all just started must not take each other's empty state for complete.
         answer.losses = self._losses.checksum if self._losses.is_informed else None
         answer.table_era, answer.table_revision = self._table.table.full_revision
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -216,13 +216,13 @@
 
     def limits(self) -> CallerLimits:
         """Return the limits on callers."""
-        table = self.configuration.table
-        return table.limits if table is not None else CallerLimits()
+        configuration = self.configuration.table
+        return configuration.limits if configuration is not None else CallerLimits()
 
     def service(self, name: str) -> Service:
         """Return the configuration of a service, or defaults if it has none."""
-        table = self.configuration.table
-        known = table.services.get(name) if table is not None else None
+        configuration = self.configuration.table
+        known = configuration.services.get(name) if configuration is not None else None
         return known or Service(name)
 
     def policy(self, organisation: str, route: str) -> str:
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -276,8 +276,8 @@
 
     @property
     def version(self) -> int:
-        table = self.beliefs.configuration.table
-        return -1 if table is None else table.version
+        configuration = self.beliefs.configuration.table
+        return -1 if configuration is None else configuration.version
 
     def _send(self, data: bytes, address: tuple[str, int]) -> None:
         self.fleet.clock.callLater(
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -56,8 +56,8 @@
 
     def write_version(self, version, *keys):
         owners = {key: Organisation("org", None) for key in keys}
-        table = RouteTable(version, (), {}, owners)
-        self.service.write(CONFIGURATION_KEY, configuration_bytes(table))
+        configuration = RouteTable(version, (), {}, owners)
+        self.service.write(CONFIGURATION_KEY, configuration_bytes(configuration))
 
     def write_target(self, name, state="ready"):
         row = {
--- a/gladedrum/entry/placement.py
+++ b/gladedrum/entry/placement.py
@@ -1,7 +1,8 @@
 """Placement: choosing targets for a request and reserving memory on them.
 
 The box that received the request asks the owners of candidate targets for quotes, reserves on the
-best of them, and renews the reservations until the request ends.
+best of them, and renews the reservations until the request ends. Boxes that forward requests place
+them by the package `placing` instead, whose `Placer` makes no reservations.
 """
 
 import logging
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -74,12 +74,12 @@
 
     def check(self, req: CallerRequest) -> Admitted | Failed | NotRun:
         """Return the route and organisation of a request, or why it is refused."""
-        table = self._configuration.table
-        if table is None:
+        configuration = self._configuration.table
+        if configuration is None:
             return NotRun("no configuration is known yet", NO_CONFIGURATION_RETRY_S)
         metadata = parse_caller_headers(req.headers)
         host = dict(req.headers).get(b"host", b"").decode("latin-1")
-        route = table.find(host, req.path.decode("latin-1"))
+        route = configuration.find(host, req.path.decode("latin-1"))
         if route is None:
             return self._refuse_unknown("no route leads there", HTTPStatus.NOT_FOUND)
         if metadata.key is None:
@@ -90,7 +90,7 @@
             age_s = self._configuration.age_s
             reason = f"the configuration is {age_s:.1f} s old, too old to trust a key"
             return NotRun(reason, NO_CONFIGURATION_RETRY_S)
-        organisation = table.organisations.get(metadata.key)
+        organisation = configuration.organisations.get(metadata.key)
         if organisation is None:
             return self._refuse_unknown("the API key is not known", HTTPStatus.UNAUTHORIZED)
         return Admitted(route, organisation, metadata)
--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -121,7 +121,7 @@
         The work as noted in the ledgers.
     service : str
         The name of the service.
-    retry_grant : Grant or None
+    retry_grant : RetryGrant or None
         The grant from the retry budget, None for the first attempt.
     reservations : ReservationSet or None
         Memory reserved on the helping engines.
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -226,7 +226,7 @@
     ----------
     first_event_s : float
         Predicted time from the start of the attempt to its first event, in seconds.
-    is_suspect : callable
+    answer_unlikely : callable
         Returns whether the target has stopped sending reports or appears to have lost the request.
     """
 
@@ -244,7 +244,7 @@
         self._max_pause_s = PAUSE_FACTOR * self.route.pause_objective_s + PAUSE_MARGIN_S
 
     def needs_hedge(self, now_s: float) -> bool:
-        """Whether a hedge is needed: now if the target is suspect, else near the caller timeout."""
+        """Whether a hedge is needed: now if no answer is likely, else near the caller timeout."""
         latest_hedge_s = self._last_event_s + LATEST_HEDGE_SHARE * caller_timeout_s(self.route)
         if now_s >= latest_hedge_s or self.is_suspect():
             return True
--- a/gladedrum/gossip/port.py
+++ b/gladedrum/gossip/port.py
@@ -4,7 +4,7 @@
 is a Thrift `Gossip` struct in the compact protocol; its lists hold notes (statements), asks
 (questions) and grants or other answers to these. Terms:
 
-- *peers*: the members of the coordinator group, which track the work of all targets and decide on
+- *members*: the members of the coordinator group, which track the work of all targets and decide on
   placements for the other boxes (deciders).
 - *work*: one attempt of a request on its targets, from its placement to its end.
 - *repeat*: a retry, taken from the fleet's retry budget.
@@ -104,7 +104,7 @@
         This box's name.
     clock : IReactorTime
         Times the batches of notes.
-    peers : callable
+    members : callable
         Returns the addresses of the other members of the coordinator group.
     all_boxes : callable
         Returns the addresses of all listed boxes; this box announces itself to them.
@@ -135,9 +135,9 @@
         self._flush_scheduled = False
 
     def broadcast_work(self, note: WorkNote) -> None:
-        """Send a note of a change of work to all peers.
+        """Send a note of a change of work to all members.
 
-        Placements are sent at once, since peers make their own decisions meanwhile; other changes
+        Placements are sent at once, since members make their own decisions meanwhile; other changes
         are batched.
         """
         self._work.append(note)
@@ -147,19 +147,19 @@
             self._flush_soon()
 
     def broadcast_report(self, note: ReportNote) -> None:
-        """Send a target's report to all peers, batched with other notes."""
+        """Send a target's report to all members, batched with other notes."""
         self._reports.append(note)
         self._flush_soon()
 
     def send_losses(self, notes: list[LossNote], address: tuple[str, int] | None = None) -> None:
-        """Send losses and their verdicts to one box or to all peers."""
+        """Send losses and their verdicts to one box or to all members."""
         for first in range(0, len(notes), LOSSES_PER_DATAGRAM):
             part = Gossip(self._box, losses=notes[first : first + LOSSES_PER_DATAGRAM])
             for peer in self._peers() if address is None else [address]:
                 self._send(peer, part)
 
     def broadcast_rate(self, note: RateNote) -> None:
-        """Send the rate limit that a target has declared to all peers."""
+        """Send the rate limit that a target names to all members."""
         for address in self._peers():
             self._send(address, Gossip(self._box, rates=[note]))
 
@@ -188,9 +188,9 @@
             self._write(address, data)
 
     def announce_shutdown(self) -> None:
-        """Announce to all peers that this box shuts down now, and send nothing else afterwards.
+        """Announce to all members that this box shuts down now, and send nothing else afterwards.
 
-        Otherwise peers would go on asking it for placements, each time until the timeout, and
+        Otherwise boxes would go on asking it for placements, each time until the timeout, and
         rely on it to read reports.
         """
         if not self._shutting_down:
@@ -233,7 +233,7 @@
         self._send(address, Gossip(self._box, repeat_grants=[grant]))
 
     def ask_place(self, address: tuple[str, int], ask: PlaceAsk) -> None:
-        """Ask one box for a place at a target that has declared a rate limit."""
+        """Ask one box for a place at a target that names a rate limit."""
         self._send(address, Gossip(self._box, place_asks=[ask]))
 
     def grant_place(self, address: tuple[str, int], grant: PlaceGrant) -> None:
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -67,7 +67,7 @@
         Data hall of the sending box.
     policy : str
         Name of the placement policy that the table sets for it.
-    lost_s : float
+    caller_leaves_s : float
         Time by the monotonic clock from which serving it is useless: its caller leaves if no event
         has arrived, or its answer can no longer complete in time.
     committed : bool
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -3,8 +3,8 @@
 The target list itself is in `beliefs`. Terms:
 
 - *Distrust* is the estimated probability that a target fails a request.
-- A target is *silent*, or suspect, while its load reports are missing. A *suspected request* is
-  something else: a request that may end the targets that run it, see `suspicion`.
+- A target is *unresponsive* while its load reports are missing.
+- A *suspected request* may end the targets that run it, see `suspicion`.
 - A *backoff* is a period in which a target takes nothing from this box, because it asked for that.
 - A target is *closed* while its rate limit allows no further request.
 - `born` identifies one start of a target's process.
@@ -38,15 +38,15 @@
 """Distrust decays to a third in this time, in seconds, so that recovered targets get work again."""
 
 MIN_SILENT_REPORT_AGE_S = 1.4
-"""Age of an engine's last report, in seconds, from which a peer's note that the engine is silent is
+"""Age of an engine's last report, in seconds, from which a peer's note of missing reports is
 believed. This is longer than the next reader takes to poll it (1.3 s), so that a broken link
 between an engine and its reader does not make all boxes suspect it, and shorter than two polls that
-time out (1.5 s), so that a silent engine is detected without extra delay."""
+time out (1.5 s), so that an unresponsive engine is detected without extra delay."""
 
 MIN_REFUSED_BOXES = 2
-"""An engine that has refused connections from this many boxes counts as silent, since its process
-has probably ended. A refusal to one box may be a fault of the link, so the next reader polls
-it at once."""
+"""An engine that has refused connections from this many boxes counts as unresponsive, since its
+process has probably ended. A refusal to one box may be a fault of the link, so the next reader
+polls it at once."""
 
 REFUSAL_LIFETIME_S = 1.0
 """How long a refused connection counts, in seconds: two report intervals and a network delay."""
@@ -94,7 +94,7 @@
         Probability that it fails a request, as of `distrust_updated_s`.
     distrust_updated_s : float
         When `distrust` was last updated.
-    silent : bool
+    reports_missing : bool
         Whether its reports are missing, as found by this box's polls or told by peers.
     refused_s : dict of str to float
         The boxes whose connections it has refused since its last report, and when.
@@ -123,7 +123,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it is silent, that is, did not answer polls.
+        """Whether its reports are missing, since it did not answer polls.
 
         The age of a report is not evidence: the box that reads the reports may have stopped.
         """
@@ -459,5 +459,5 @@
 
 
 def _stake(plan: WorkPlan, now_s: float) -> Stake:
-    due_s, lost_s = now_s + plan.first_due_in_s, now_s + plan.lost_in_s
-    return Stake(plan.value, due_s, plan.pause_limit_s, lost_s)
+    due_s, caller_leaves_s = now_s + plan.first_due_in_s, now_s + plan.lost_in_s
+    return Stake(plan.value, due_s, plan.pause_limit_s, caller_leaves_s)
--- a/gladedrum/placing/reports.py
+++ b/gladedrum/placing/reports.py
@@ -31,13 +31,14 @@
 """Timeout of a report, in seconds; engines normally answer in milliseconds."""
 
 MAX_MISSES = 2
-"""Number of consecutive missing reports after which an engine counts as silent: a single one may be
-lost. Refused connections are reported to peers at once, see `fleet_view.MIN_REFUSED_BOXES`."""
+"""Number of consecutive missing reports after which an engine counts as unresponsive: a single one
+may be lost. Refused connections are reported to the coordinators at once, see
+`fleet_view.MIN_REFUSED_BOXES`."""
 
 SECOND_READER_AGE_S = 0.9
 """Report age at which the second box in an engine's order polls it, in seconds. This is more than
 two intervals, so that a lost datagram does not cause a poll. An engine that is lost together with
-its reader is detected as silent after 2.5 s at most."""
+its reader is detected as unresponsive after 2.5 s at most."""
 
 OTHER_READERS_AGE_S = 2.0
 """Report age at which all further boxes in an engine's order poll it, in seconds."""
@@ -68,7 +69,7 @@
     readers : callable
         Returns the names of the boxes that read reports; empty while they are not known.
     broadcast : callable
-        Sends a `ReportNote` to the peers.
+        Sends a `ReportNote` to the coordinators.
     """
 
     def __init__(
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -2,9 +2,9 @@
 
 A *loss* is a request that was lost together with a target. The rules that turn losses into verdicts
 are in `scheduling.suspects`. This module collects losses from the box's own attempts and from
-peers. It sends each loss to all peers at once and twice more, in case a datagram is lost, and sends
-all losses to a box whose checksum differs (`beliefs.peer_sync`), such as one that has just
-started.
+peers. It sends each loss to the coordinators at once and twice more, in case a datagram is lost,
+and sends all losses to a box whose checksum differs (`beliefs.peer_sync`), such as one that has
+just started.
 """
 
 import logging
--- a/gladedrum/placing/tests/test_missing_reports.py
+++ b/gladedrum/placing/tests/test_missing_reports.py
@@ -1,4 +1,4 @@
-"""Only consecutive missing reports make an engine silent; an old miss does not count."""
+"""Only consecutive missing reports make an engine unresponsive; an old miss does not count."""
 
 from twisted.internet.task import Clock
 
--- a/gladedrum/placing/work_plan.py
+++ b/gladedrum/placing/work_plan.py
@@ -21,7 +21,7 @@
         The target that answers, then its helpers.
     prompt_tokens, answer_tokens : int
         Size of the request.
-    value : float
+    worth : float
         Worth of serving it in time, see `expected_loss.worth_of`.
     first_due_in_s : float
         Seconds until its first event is due.
@@ -29,7 +29,7 @@
         Longest acceptable pause between events, in seconds.
     reserved : bool
         Whether each target holds the part of the prompt that it reads.
-    lost_in_s : float
+    caller_leaves_in_s : float
         Seconds until its caller leaves if no event has arrived.
     digest : bytes
         Digest of the request's content if it is suspected of ending targets, else empty.
--- a/gladedrum/platform/feeds.py
+++ b/gladedrum/platform/feeds.py
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    table : RouteTable or None
+    configuration : Configuration or None
         The decoded configuration; None if it has not changed.
     revision : Revision
         The store's revision.
--- a/gladedrum/routes/core.py
+++ b/gladedrum/routes/core.py
@@ -3,10 +3,10 @@
 Examples
 --------
 >>> route = Route(name="r", host="a.example", path_prefix="/x/", services=(ServiceShare("s", 1),))
->>> table = RouteTable(version=3, routes=(route,))
->>> table.find("A.example:80", "/x/y/2f?q=1").name
+>>> configuration = RouteTable(version=3, routes=(route,))
+>>> configuration.find("A.example:80", "/x/y/2f?q=1").name
 'r'
->>> table.find("a.example", "/other/") is None
+>>> configuration.find("a.example", "/other/") is None
 True
 """
 
--- a/gladedrum/scheduling/engine_model.py
+++ b/gladedrum/scheduling/engine_model.py
@@ -86,7 +86,7 @@
         Answer tokens still to be written.
     depth : float
         Prompt tokens before those still to be read.
-    pair_share : float
+    pair_factor : float
         Factor on the pairs of the tokens read here. It is the number of parts for a part of a joint
         prompt, as the pairs of the whole prompt are shared evenly.
     writes : bool
--- a/gladedrum/scheduling/expected_loss.py
+++ b/gladedrum/scheduling/expected_loss.py
@@ -6,6 +6,9 @@
 itself. The request goes to the engine with the lowest cost, or, if its prompt is long, to the set
 of engines that reads it in parts at the lowest cost. One engine of a set answers; the others are
 its helpers.
+
+A loss is an amount of worth here. The `Loss` of `suspects` is something else: a request that was
+lost with its target.
 """
 
 import bisect
--- a/gladedrum/scheduling/ledger.py
+++ b/gladedrum/scheduling/ledger.py
@@ -59,7 +59,7 @@
         Unique to the attempt.
     prompt_tokens : float
         Tokens that this engine reads.
-    pair_share : float
+    pair_factor : float
         See `Work.pair_factor`.
     answer_tokens : float
         Expected length of the answer; 0 on helpers.
--- a/gladedrum/scheduling/suspects.py
+++ b/gladedrum/scheduling/suspects.py
@@ -102,7 +102,7 @@
         The start of the target.
     at_s : float
         Time of the loss, or of its clearing, by the monotonic clock.
-    verdict : Verdict
+    verdict : LossVerdict
         Whether the target has ended.
     route, organisation : str
         Origin of the request, for operators.
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -99,8 +99,8 @@
 def _ignore_changes() -> None:
     """Keep the first configuration and ignore later ones."""
     apply = ConfigurationFollower._apply
-    ConfigurationFollower._apply = lambda follower, table: (
-        apply(follower, table) if follower.table is None else None
+    ConfigurationFollower._apply = lambda follower, configuration: (
+        apply(follower, configuration) if follower.table is None else None
     )
 
 
@@ -108,11 +108,11 @@
     """Apply each version that is read, sometimes an earlier one."""
     seen: list = []
 
-    def apply(follower: ConfigurationFollower, table) -> None:
-        if table is None:
+    def apply(follower: ConfigurationFollower, configuration) -> None:
+        if configuration is None:
             return
-        seen.append(table)
-        follower.table = seen[-2] if len(seen) % 3 == 0 else table
+        seen.append(configuration)
+        follower.table = seen[-2] if len(seen) % 3 == 0 else configuration
 
     ConfigurationFollower._apply = apply
 
