--- a/soak/operator.py
+++ b/soak/operator.py
@@ -56,7 +56,7 @@
 
     async def _write_next(self) -> bool:
         self._version += self._rng.randint(1, 3)
-        raw = configuration_bytes(_table(self._version, self._keys))
+        raw = configuration_bytes(_configuration(self._version, self._keys))
         try:
             before = await self._client.get(CONFIGURATION_KEY)
             revision = before.revision if before is not None else ABSENT
@@ -82,7 +82,7 @@
 that callers wait 2 s for an event."""
 
 
-def _table(version: int, keys: list[str]) -> RouteTable:
+def _configuration(version: int, keys: list[str]) -> RouteTable:
     """Return a configuration; all keys belong to an organisation named after the version."""
     routes = (
         _route(Kind.ONCE, "plain"),
