--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -4,7 +4,7 @@
 
 - *Work* is a request that was placed, see `work_plan`; the *ledger* of a target holds its work.
 - *Distrust* is the estimated probability that a target fails a request.
-- A target is *silent*, or suspect, while its load reports are missing, or after it has refused
+- A target is *unresponsive* while its load reports are missing, or after it has refused
   connections from several boxes. A *suspected request* is something else: a request that may end
   the targets that run it, see `suspicion`.
 - A *backoff* is a period in which this box sends a target nothing but renewals of reservations,
@@ -41,14 +41,14 @@
 """Distrust decays to a third in this time, in seconds, so that recovered targets get work again."""
 
 MIN_SILENT_REPORT_AGE_S = 1.4
-"""Age of an engine's last report, in seconds, from which a peer's note that the engine is silent is
+"""Age of an engine's last report, in seconds, from which a peer's note of missing reports is
 believed. This is longer than the next reader (see `reports`) takes to poll it (1.3 s), so that a
 broken link between an engine and its reader does not make all boxes suspect it, and shorter than
-two polls that time out (1.5 s), so that a silent engine is detected without extra delay."""
+two polls that time out (1.5 s), so that an unresponsive engine is detected without extra delay."""
 
 MIN_REFUSED_BOXES = 2
-"""An engine that has refused connections from this many boxes counts as silent, since its process
-has probably ended. A refusal to one box may be a fault of the link, so the second reader
+"""An engine that has refused connections from this many boxes counts as unresponsive, since its
+process has probably ended. A refusal to one box may be a fault of the link, so the second reader
 (see `reports`) polls it in its next round."""
 
 REFUSAL_LIFETIME_S = 1.0
@@ -97,7 +97,7 @@
         Probability that it fails a request, as of `distrust_updated_s`.
     distrust_updated_s : float
         When `distrust` was last updated.
-    silent : bool
+    reports_missing : bool
         Whether its reports are missing, as found by this box's polls or told by peers, or it has
         refused connections from `MIN_REFUSED_BOXES` boxes.
     refused_s : dict of str to float
@@ -127,7 +127,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it is silent: its reports are missing, or it refuses connections.
+        """Whether its reports are missing, or it refuses connections.
 
         The age of a report is not evidence: the box that reads the reports may have stopped.
         """
@@ -463,5 +463,5 @@
 
 
 def _stake(plan: WorkPlan, now_s: float) -> Stake:
-    due_s, lost_s = now_s + plan.first_due_in_s, now_s + plan.lost_in_s
-    return Stake(plan.value, due_s, plan.pause_limit_s, lost_s)
+    due_s, caller_leaves_s = now_s + plan.first_due_in_s, now_s + plan.lost_in_s
+    return Stake(plan.value, due_s, plan.pause_limit_s, caller_leaves_s)
--- a/gladedrum/scheduling/expected_loss.py
+++ b/gladedrum/scheduling/expected_loss.py
@@ -6,6 +6,9 @@
 engine lose by the delay, plus what the new request loses itself. The request goes to the engine
 with the lowest cost, or, if its prompt is long, to the set of engines that reads it in parts at the
 lowest cost. One engine of a set answers; the others are its helpers.
+
+A loss is an amount of worth here. The `Loss` of `suspects` is something else: a request that was
+lost with its target.
 """
 
 import bisect
