--- a/benchmarks/forward_roles.py
+++ b/benchmarks/forward_roles.py
@@ -25,7 +25,7 @@
 from gladedrum.placing.choosing import Chooser, Demand
 from gladedrum.placing.fleet_view import FleetView
 from gladedrum.placing.work_plan import WorkPlan, note_from_plan
-from gladedrum.routes import RouteTable, Service
+from gladedrum.routes import Configuration, Service
 from gladedrum.scheduling.engine_model import EngineTraits
 from gladedrum.table import TableFollower, TableInForce
 
@@ -102,7 +102,7 @@
 def _peer_sync(name: str, clock: Clock, entries: dict[str, TargetEntry]) -> PeerSync:
     pace = StorePace(clock, random.Random(1), lambda: name != "member")
     configuration = ConfigurationFollower(clock, None, 3.0, pace)
-    configuration._apply(RouteTable(7))
+    configuration._apply(Configuration(7))
     configuration._confirm(clock.seconds())
     targets = TargetListFollower(clock, None, 3.0, lambda _entry: None, pace)
     targets.entries = entries
--- a/gladedrum/beliefs/configuration.py
+++ b/gladedrum/beliefs/configuration.py
@@ -15,7 +15,7 @@
 from ..platform.codecs import MalformedError
 from ..platform.feeds import ConfigurationFeed, ConfigurationUpdate
 from ..platform.store import HistoryGoneError, Revision
-from ..routes import RouteTable
+from ..routes import Configuration
 from ..utils import sleep
 from .store_pace import StorePace
 
@@ -69,7 +69,7 @@
     in_force : Configuration or None
         The configuration in force; None before the first read.
     raw : bytes
-        The encoded form of `table` as the operator wrote it, to send to peers.
+        The encoded form of `in_force` as the operator wrote it, to send to peers.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._watch_sent_s = float("-inf")
         self._wakeup: defer.Deferred[None] | None = None
         self._newer_version_known = False
-        self.table: RouteTable | None = None
+        self.in_force: Configuration | None = None
         self.raw = b""
         self.set_change_bound(change_bound_s)
 
@@ -144,7 +144,7 @@
         except MalformedError as exc:
             _log.warning("cannot decode a peer's configuration", extra={"reason": str(exc)})
             return
-        if self.table is not None and configuration.version <= self.table.version:
+        if self.in_force is not None and configuration.version <= self.in_force.version:
             return
         self._apply(configuration, raw)
         self._newer_version_known = False
@@ -156,17 +156,17 @@
         The peer's copy was `age_s` old when it answered, which was not before `sent_s`. So the
         named version contains every change acknowledged before `sent_s - age_s`.
         """
-        if self.table is None:
+        if self.in_force is None:
             return
-        if version == self.table.version:
+        if version == self.in_force.version:
             self._confirmed_s = max(self._confirmed_s, sent_s - age_s)
-        elif version > self.table.version:
+        elif version > self.in_force.version:
             self._newer_version_known = True
             if self._wakeup is not None:
                 self._wakeup.callback(None)
 
     def _may_rely_on_peers(self) -> bool:
-        known = self.table is not None and not self._newer_version_known
+        known = self.in_force is not None and not self._newer_version_known
         # While a restored store is distrusted, this box's own reads would confirm nothing. One more
         # interval lets peers, whose reads count from then on, answer first.
         distrusted = self._clock.seconds() < self._distrusted_until_s + FOLLOW_CHECK_INTERVAL_S
@@ -205,23 +205,23 @@
     def _apply_update(self, update: ConfigurationUpdate, sent_s: float) -> None:
         self._revision = update.revision
         self._newer_version_known = False
-        before = self.table
-        self._apply(update.table, update.raw)
+        before = self.in_force
+        self._apply(update.configuration, update.raw)
         # A restored store may hold an older version than the one in force, which confirms nothing.
         # A newer one confirms even in the time of distrust: it was written after the one in force.
-        if update.table is not None:
-            self._store_is_behind = update.table.version < self.table.version
-        is_distrusted = sent_s < self._distrusted_until_s and self.table is before
+        if update.configuration is not None:
+            self._store_is_behind = update.configuration.version < self.in_force.version
+        is_distrusted = sent_s < self._distrusted_until_s and self.in_force is before
         if not is_distrusted and not self._store_is_behind:
             self._confirm(sent_s)
 
-    def _apply(self, configuration: RouteTable | None, raw: bytes = b"") -> None:
+    def _apply(self, configuration: Configuration | None, raw: bytes = b"") -> None:
         if configuration is None:
             return
-        known_version = self.table.version if self.table is not None else -1
+        known_version = self.in_force.version if self.in_force is not None else -1
         if configuration.version <= known_version:
             return
-        self.table, self.raw = configuration, raw
+        self.in_force, self.raw = configuration, raw
         _log.info(
             "configuration in force",
             extra={
--- a/gladedrum/beliefs/peer_sync.py
+++ b/gladedrum/beliefs/peer_sync.py
@@ -186,7 +186,7 @@
 
     @property
     def _version(self) -> int:
-        configuration = self._configuration.table
+        configuration = self._configuration.in_force
         return configuration.version if configuration is not None else -1
 
     def _address_to_ask(self) -> tuple[str, int] | None:
@@ -207,7 +207,7 @@
 
     def _answer(self, ask: VouchAsk, address: tuple[str, int]) -> None:
         self._compare_losses(ask.losses, address)
-        configuration = self._configuration.table
+        configuration = self._configuration.in_force
         if configuration is None or not self._coordinators.includes_me():
             self._send_boxes(ask, address)
             return
--- a/gladedrum/beliefs/store_beliefs.py
+++ b/gladedrum/beliefs/store_beliefs.py
@@ -157,7 +157,7 @@
             "before": previous_era,
             "entry_written_anew": self.registry.is_registered,
             "list_as_of": self.registry.revision.number,
-            "version": self.configuration.table.version if self.configuration.table else None,
+            "version": self.configuration.in_force.version if self.configuration.in_force else None,
             "targets": len(self.targets.entries),
             "table_revision": self.table.table.revision,
             "edits_held": len(self.table.accepted_edits),
@@ -171,7 +171,7 @@
     @property
     def is_informed(self) -> bool:
         """Whether this box has a configuration and a list of targets."""
-        return self.configuration.table is not None and bool(self.targets.entries)
+        return self.configuration.in_force is not None and bool(self.targets.entries)
 
     def knows_peers(self) -> bool:
         """Whether the other boxes are known, or the time to discover them is over."""
@@ -216,12 +216,12 @@
 
     def limits(self) -> CallerLimits:
         """Return the limits on callers."""
-        configuration = self.configuration.table
+        configuration = self.configuration.in_force
         return configuration.limits if configuration is not None else CallerLimits()
 
     def service(self, name: str) -> Service:
         """Return the configuration of a service, or defaults if it has none."""
-        configuration = self.configuration.table
+        configuration = self.configuration.in_force
         known = configuration.services.get(name) if configuration is not None else None
         return known or Service(name)
 
--- a/gladedrum/beliefs/tests/fleet.py
+++ b/gladedrum/beliefs/tests/fleet.py
@@ -281,7 +281,7 @@
 
     @property
     def version(self) -> int:
-        configuration = self.beliefs.configuration.table
+        configuration = self.beliefs.configuration.in_force
         return -1 if configuration is None else configuration.version
 
     def _send(self, data: bytes, address: tuple[str, int]) -> None:
--- a/gladedrum/beliefs/tests/test_beliefs.py
+++ b/gladedrum/beliefs/tests/test_beliefs.py
@@ -13,7 +13,7 @@
 from gladedrum.fleet import TargetEntry
 from gladedrum.platform.feeds import ConfigurationUpdate
 from gladedrum.platform.store import HistoryGoneError
-from gladedrum.routes import RouteTable
+from gladedrum.routes import Configuration
 from gladedrum.utils import start
 
 CHANGE_BOUND_S = 2.0
@@ -52,23 +52,23 @@
 def test_age_counts_from_when_the_call_was_sent():
     clock, feed, configuration = configuration_follower()
     clock.advance(0.7)
-    feed.pending.callback(ConfigurationUpdate(RouteTable(1), 10))
-    assert configuration.table.version == 1
+    feed.pending.callback(ConfigurationUpdate(Configuration(1), 10))
+    assert configuration.in_force.version == 1
     assert configuration.age_s == 0.7
 
 
 def test_a_lower_version_is_never_applied():
     _clock, feed, configuration = configuration_follower()
-    feed.pending.callback(ConfigurationUpdate(RouteTable(5), 10))
-    feed.pending.callback(ConfigurationUpdate(RouteTable(4), 11))
-    feed.pending.callback(ConfigurationUpdate(RouteTable(5), 12))
-    assert configuration.table.version == 5
+    feed.pending.callback(ConfigurationUpdate(Configuration(5), 10))
+    feed.pending.callback(ConfigurationUpdate(Configuration(4), 11))
+    feed.pending.callback(ConfigurationUpdate(Configuration(5), 12))
+    assert configuration.in_force.version == 5
     assert feed.calls == ["read", 10, 11, 12]
 
 
 def test_a_failed_call_confirms_nothing_and_is_followed_by_a_full_read():
     clock, feed, configuration = configuration_follower()
-    feed.pending.callback(ConfigurationUpdate(RouteTable(5), 10))
+    feed.pending.callback(ConfigurationUpdate(Configuration(5), 10))
     clock.advance(1.0)
     feed.pending.errback(KVUnavailableError("cut"))
     clock.advance(1.0)
@@ -78,7 +78,7 @@
 
 def test_a_configuration_is_current_while_a_watch_is_open_but_not_when_it_is_late():
     clock, feed, configuration = configuration_follower()
-    feed.pending.callback(ConfigurationUpdate(RouteTable(5), 10))
+    feed.pending.callback(ConfigurationUpdate(Configuration(5), 10))
     clock.advance(WATCH_S)
     feed.pending.callback(ConfigurationUpdate(None, 11))
     clock.advance(WATCH_S - 0.1)
@@ -92,10 +92,10 @@
 
 def test_a_full_read_follows_when_the_history_was_dropped():
     _clock, feed, configuration = configuration_follower()
-    feed.pending.callback(ConfigurationUpdate(RouteTable(5), 10))
+    feed.pending.callback(ConfigurationUpdate(Configuration(5), 10))
     feed.pending.errback(HistoryGoneError("gone"))
-    feed.pending.callback(ConfigurationUpdate(RouteTable(6), 99))
-    assert configuration.table.version == 6
+    feed.pending.callback(ConfigurationUpdate(Configuration(6), 99))
+    assert configuration.in_force.version == 6
     assert feed.calls == ["read", 10, "read", 99]
 
 
@@ -103,7 +103,7 @@
     clock, feed = Clock(), ScriptedFeed()
     configuration = ConfigurationFollower(clock, feed, CHANGE_BOUND_S, pace(clock, follows=True))
     running = start(configuration.run())
-    feed.pending.callback(ConfigurationUpdate(RouteTable(5), 10))
+    feed.pending.callback(ConfigurationUpdate(Configuration(5), 10))
     return clock, feed, configuration, running
 
 
@@ -125,8 +125,8 @@
     assert feed.calls == ["read"]
     clock.pump([0.1] * 19)
     assert feed.calls == ["read", "read"]
-    feed.pending.callback(ConfigurationUpdate(RouteTable(7), 20))
-    assert configuration.table.version == 7
+    feed.pending.callback(ConfigurationUpdate(Configuration(7), 20))
+    assert configuration.in_force.version == 7
 
 
 def test_stale_confirmations_do_not_keep_a_box_from_reading():
@@ -141,8 +141,8 @@
     _clock, feed, configuration, running = peer_reliant_follower()
     configuration.confirm_from_peer(6, 0.0, 0.0)
     assert feed.calls == ["read", "read"]
-    feed.pending.callback(ConfigurationUpdate(RouteTable(6), 11))
-    assert configuration.table.version == 6
+    feed.pending.callback(ConfigurationUpdate(Configuration(6), 11))
+    assert configuration.in_force.version == 6
     ended = []
     running.addBoth(ended.append)
     running.cancel()
--- a/gladedrum/beliefs/tests/test_peer_sync.py
+++ b/gladedrum/beliefs/tests/test_peer_sync.py
@@ -17,7 +17,7 @@
 from gladedrum.gossip.port import encode
 from gladedrum.gossip.wire.ttypes import ConfigurationPart, Gossip, VouchAsk, VouchNote
 from gladedrum.platform.store import Revision
-from gladedrum.routes import RouteTable
+from gladedrum.routes import Configuration
 from gladedrum.table import Table, TableFollower, TableInForce
 from gladedrum.utils import start
 
@@ -67,7 +67,7 @@
     """Return a box whose copies were confirmed at `read_s`, and its wire."""
     pace = StorePace(clock, random.Random(1), lambda: not is_member, lambda: not is_member)
     configuration = ConfigurationFollower(clock, NoFeed(), 2.0, pace)
-    configuration._apply(RouteTable(version))
+    configuration._apply(Configuration(version))
     configuration._confirm(read_s)
     listed = TargetListFollower(clock, NoFeed(), 2.0, lambda _entry: None, pace)
     listed.entries = {n: TargetEntry(n, "s", "10.0.0.1", 1, "h", 1, False) for n in targets}
@@ -301,7 +301,7 @@
     """Decodes a configuration that consists of its version."""
 
     def decode(self, raw):
-        return RouteTable(int(raw))
+        return Configuration(int(raw))
 
 
 def send_configuration(member_version, asker_version, raw, lost=()):
@@ -328,7 +328,7 @@
     """Thundering herd: otherwise each change makes every box read the store."""
     asker, wire = send_configuration(4, 3, b"4".rjust(5_000))
     assert len(wire.configuration_parts) == 5
-    assert asker._configuration.table.version == 4
+    assert asker._configuration.in_force.version == 4
     assert asker._configuration.age_s == 0.5
     assert not asker._configuration._newer_version_known
     asker, wire = send_configuration(3, 3, b"3")
@@ -338,7 +338,7 @@
 def test_a_box_reads_a_large_or_incomplete_configuration_itself():
     for raw, lost in ((b"4".rjust(5_000), (2,)), (b"4".rjust(200_000), ())):
         asker, _wire = send_configuration(4, 3, raw, lost)
-        assert asker._configuration.table.version == 3
+        assert asker._configuration.in_force.version == 3
         assert asker._configuration._newer_version_known
 
 
@@ -365,7 +365,7 @@
     seed._registry.entries = {"m.1": BoxEntry("10.0.0.1", 1, 2.0)}
     seed._registry.revision = Revision(0, 7)
     fresh, wire = box(clock, False, 0, read_s=0.0, targets=())
-    fresh._configuration.table, fresh._configuration._feed = None, JsonFeed()
+    fresh._configuration.in_force, fresh._configuration._feed = None, JsonFeed()
     fresh._targets._confirmed_s = fresh._configuration._confirmed_s = float("-inf")
     fresh._seeds = [("10.0.0.3", 3)]
     start(fresh.run())
@@ -379,7 +379,7 @@
         fresh.receive(Gossip("m", configuration_parts=[received]), ("10.0.0.1", 1))
     fresh.receive(Gossip("m", vouches=member_wire.notes), ("10.0.0.1", 1))
     fresh.receive(Gossip("m", list_parts=member_wire.list_parts), ("10.0.0.1", 1))
-    assert fresh._configuration.table.version == 4
+    assert fresh._configuration.in_force.version == 4
     assert set(fresh._targets.entries) == {"t1"}
     assert fresh._targets.age_s == fresh._configuration.age_s == 0.5
 
--- a/gladedrum/beliefs/tests/test_store_restore.py
+++ b/gladedrum/beliefs/tests/test_store_restore.py
@@ -16,7 +16,7 @@
 from gladedrum.beliefs.target_list import REAPPEAR_GRACE_S, TargetListFollower
 from gladedrum.platform.feeds import ConfigurationFeed, TargetFeed
 from gladedrum.platform.tests.store_case import StoreCase
-from gladedrum.routes import Organisation, RouteTable
+from gladedrum.routes import Configuration, Organisation
 from gladedrum.standins.operator import CONFIGURATION_KEY, configuration_bytes
 from gladedrum.utils import sleep, start
 
@@ -56,7 +56,7 @@
 
     def write_version(self, version, *keys):
         owners = {key: Organisation("org", None) for key in keys}
-        configuration = RouteTable(version, (), {}, owners)
+        configuration = Configuration(version, (), {}, owners)
         self.service.write(CONFIGURATION_KEY, configuration_bytes(configuration))
 
     def write_target(self, name, state="ready"):
@@ -87,24 +87,24 @@
         for number in range(5):
             self.service.write("other", b"%d" % number)
         configuration = self.configuration()
-        assert await self.until(lambda: configuration.table is not None)
+        assert await self.until(lambda: configuration.in_force is not None)
         self.service.restore_snapshot(None)
         self.write_version(2)
         for number in range(20):
             self.service.write("other", b"%d" % number)
-        assert await self.until(lambda: configuration.table.version == 2, 4.0)
+        assert await self.until(lambda: configuration.in_force.version == 2, 4.0)
 
     async def test_the_configuration_in_force_stays_until_the_store_has_caught_up(self):
         self.write_version(1, "old")
         self.service.save_snapshot()
         self.write_version(2, "new")
         configuration = self.configuration()
-        assert await self.until(lambda: configuration.table is not None)
+        assert await self.until(lambda: configuration.in_force is not None)
         self.service.restore_snapshot(2.5)
         confirmed_s = configuration._confirmed_s
         for _ in range(40):
             await sleep(reactor, 0.05)
-            assert configuration.table.version == 2
+            assert configuration.in_force.version == 2
             # The backup lacks changes made since it was taken, so reads of it confirm nothing.
         assert configuration._confirmed_s <= confirmed_s + 1.3
         assert await self.until(lambda: configuration.age_s < 0.5, 4.0)
--- a/gladedrum/daemon/tests/test_clock.py
+++ b/gladedrum/daemon/tests/test_clock.py
@@ -14,7 +14,7 @@
 from gladedrum.daemon import main as daemon
 from gladedrum.forward.admission import Admission
 from gladedrum.forward.tests.support import NoFeed
-from gladedrum.routes import RouteTable
+from gladedrum.routes import Configuration
 
 KEY_BOUND_S = 5.0
 STEPS_S = (-4000.0, 4000.0)
@@ -88,7 +88,7 @@
 def test_suspended_time_counts(reactor, clocks):
     """A key may be revoked, a target may leave and a deadline may pass during a suspension."""
     configuration = ConfigurationFollower(reactor, NoFeed(), 2.0, None)
-    configuration._apply(RouteTable(1))
+    configuration._apply(Configuration(1))
     configuration._confirm(reactor.seconds())
     targets = TargetListFollower(reactor, NoFeed(), 2.0, lambda _entry: None, None)
     targets._note_confirmed(reactor.seconds())
--- a/gladedrum/forward/admission.py
+++ b/gladedrum/forward/admission.py
@@ -74,7 +74,7 @@
 
     def check(self, req: CallerRequest) -> Admitted | Failed | NotRun:
         """Return the route and organisation of a request, or why it is refused."""
-        configuration = self._configuration.table
+        configuration = self._configuration.in_force
         if configuration is None:
             return NotRun("no configuration is known yet", NO_CONFIGURATION_RETRY_S)
         metadata = parse_caller_headers(req.headers)
--- a/gladedrum/forward/attempts.py
+++ b/gladedrum/forward/attempts.py
@@ -30,7 +30,7 @@
     RequestOnHold,
 )
 from ..placing.fleet_view import START_KNOWN_WITHIN_S
-from ..placing.retry_pool import Grant
+from ..placing.retry_pool import RetryGrant
 from ..placing.work_plan import WorkPlan, note_from_plan, work_id_of
 from ..platform.headers import ForwardMetadata, forward_headers
 from ..platform.orders import CallKind
@@ -145,7 +145,7 @@
     choice: Choice
     plan: WorkPlan
     service: str
-    retry_grant: Grant | None = None
+    retry_grant: RetryGrant | None = None
     reservations: ReservationSet | None = None
     exchange: Exchange | None = None
     relay: Relay | None = None
@@ -409,7 +409,7 @@
             return Refused("it would cost other requests at least its worth", at_target=False)
         return None
 
-    async def _take_retry(self, demand: Demand) -> Grant | Refused | OverBudget:
+    async def _take_retry(self, demand: Demand) -> RetryGrant | Refused | OverBudget:
         grant = await self._ctx.retry_pool.take(demand.service.name)
         if not grant:
             self._ctx.metrics.repeats.labels("over budget").inc()
@@ -418,7 +418,7 @@
             self._return_retry(demand, grant)
         return self._refusal_if_closed() or grant
 
-    def _return_retry(self, demand: Demand, retry_grant: Grant | None) -> None:
+    def _return_retry(self, demand: Demand, retry_grant: RetryGrant | None) -> None:
         if retry_grant is not None:
             self._ctx.retry_pool.give_back(demand.service.name, retry_grant)
 
@@ -491,7 +491,9 @@
             *common,
             attempt.choice.first_event_s,
             lambda: (
-                attempt.target_restarted or attempt.appears_lost or state(attempt.target).is_suspect
+                attempt.target_restarted
+                or attempt.appears_lost
+                or state(attempt.target).is_unresponsive
             ),
         )
 
--- a/gladedrum/forward/box.py
+++ b/gladedrum/forward/box.py
@@ -288,7 +288,7 @@
         max_age_s = READY_AGE_SHARE * settings.key_bound_s if settings.keys_expire else float("inf")
         reasons = {
             "the box is draining": self._draining,
-            "no configuration is known": self._configuration.table is None,
+            "no configuration is known": self._configuration.in_force is None,
             "the configuration is old": self._configuration.age_s > max_age_s,
             "the list of targets has not been read": not self._targets.entries,
             "callers are not listened for": not self._ports.accepts_callers,
--- a/gladedrum/forward/pages.py
+++ b/gladedrum/forward/pages.py
@@ -60,7 +60,7 @@
         self._statements = statements
 
     def render_GET(self, request: Request) -> bytes:
-        known = self._configuration.table
+        known = self._configuration.in_force
         self._metrics.configuration_version.set(known.version if known else -1)
         self._metrics.configuration_age_s.set(self._configuration.age_s)
         self._metrics.condemned.set(len(self._suspicion.condemned()))
--- a/gladedrum/forward/relaying.py
+++ b/gladedrum/forward/relaying.py
@@ -231,7 +231,7 @@
     """
 
     first_event_s: float
-    is_suspect: Callable[[], bool]
+    answer_unlikely: Callable[[], bool]
     _splitter: EventSplitter = field(default_factory=EventSplitter, init=False)
     _last_event_s: float = field(default=0.0, init=False)
     _max_pause_s: float = field(default=0.0, init=False)
@@ -246,7 +246,7 @@
     def needs_hedge(self, now_s: float) -> bool:
         """Whether a hedge is needed: now if no answer is likely, else near the caller timeout."""
         latest_hedge_s = self._last_event_s + LATEST_HEDGE_SHARE * caller_timeout_s(self.route)
-        if now_s >= latest_hedge_s or self.is_suspect():
+        if now_s >= latest_hedge_s or self.answer_unlikely():
             return True
         self.next_check_s = min(latest_hedge_s, now_s + CHECK_INTERVAL_S)
         return False
--- a/gladedrum/forward/request_log.py
+++ b/gladedrum/forward/request_log.py
@@ -90,7 +90,7 @@
             "status": status,
             "begun": begun,
             "report_age_s": shown_age_s(state, now_s),
-            "suspect": state.is_suspect,
+            "suspect": state.is_unresponsive,
             "reads_on_s": _round_s(None if reads_until_s is None else reads_until_s - now_s),
         },
     )
--- a/gladedrum/forward/request_task.py
+++ b/gladedrum/forward/request_task.py
@@ -305,7 +305,7 @@
     async def search_hedge(self, silent: Attempt) -> Attempt | AttemptEnd:
         """Prepare a hedge of a silent attempt; return it, or why there is none."""
         demand = self._with_digest(self._demand)
-        demand = replace(demand, committed=True, lost_s=self._caller_leaves_s())
+        demand = replace(demand, committed=True, caller_leaves_s=self._caller_leaves_s())
         found = await self._dispatcher.prepare(demand, self._hedge_bounds(silent))
         if not isinstance(found, Attempt):
             log_no_hedge(self._admitted, silent.target, found)
@@ -381,7 +381,7 @@
     def is_silence_explained(self, silent: Attempt) -> bool:
         """Whether the target reports and is reading prompts that explain its silence."""
         now_s = self._now_s()
-        suspect = silent.appears_lost or self._ctx.view.state(silent.target).is_suspect
+        suspect = silent.appears_lost or self._ctx.view.state(silent.target).is_unresponsive
         return not suspect and self._reads_until_s(silent) > now_s
 
     def _reads_until_s(self, silent: Attempt) -> float:
--- a/gladedrum/forward/tests/support.py
+++ b/gladedrum/forward/tests/support.py
@@ -34,7 +34,7 @@
 from gladedrum.placing.suspicion import Suspicion
 from gladedrum.placing.target_rates import TargetRates
 from gladedrum.platform import wire
-from gladedrum.routes import Organisation, Route, RouteTable, Service, ServiceShare
+from gladedrum.routes import Configuration, Organisation, Route, Service, ServiceShare
 from gladedrum.scheduling.engine_model import EngineTraits
 
 KEY = "k1"
@@ -218,16 +218,16 @@
         self.outcomes = []
         self.policy = "fair_slack"
         self.factory = CallerFactory(
-            self.net, lambda: self.configuration.table.limits, self._handle
+            self.net, lambda: self.configuration.in_force.limits, self._handle
         )
 
-    def table(self, engine=None, version=1, keys=(KEY,), **route) -> RouteTable:
+    def table(self, engine=None, version=1, keys=(KEY,), **route) -> Configuration:
         fields = {"anonymous": False, "time_limit_s": 5.0, "objective_s": 0.3, **route}
         row = Route("r", "a.example", "/x/", (ServiceShare("s", 1.0),), **fields)
         organisations = {key: Organisation("org", None) for key in keys}
-        return RouteTable(version, (row,), {"s": Service("s", engine)}, organisations)
+        return Configuration(version, (row,), {"s": Service("s", engine)}, organisations)
 
-    def confirm_configuration(self, table: RouteTable | None = None) -> None:
+    def confirm_configuration(self, table: Configuration | None = None) -> None:
         self.configuration._apply(table)
         self.configuration._confirm(self.net.seconds())
 
@@ -246,7 +246,7 @@
         self.statements.receive(message)
 
     def _service(self, name):
-        return self.configuration.table.services[name]
+        return self.configuration.in_force.services[name]
 
     def _handle(self, req, caller):
         task, finished = start_request(self.ctx, req, caller)
--- a/gladedrum/forward/tests/test_crashing_fleet.py
+++ b/gladedrum/forward/tests/test_crashing_fleet.py
@@ -20,7 +20,7 @@
 from gladedrum.outcome import Completed, NotRun
 from gladedrum.placing.work_plan import WorkPlan
 from gladedrum.platform import wire
-from gladedrum.scheduling.suspects import Standing, TargetStart, Verdict
+from gladedrum.scheduling.suspects import LossVerdict, Standing, TargetStart
 
 
 def standings(fleet, body=b"deadly"):
@@ -59,7 +59,7 @@
 
 def test_same_body_from_another_organisation_or_path_is_a_different_request():
     fleet = CrashingFleet(keys=("k1", "k2"))
-    fleet.boxes["box1"].configuration.table.organisations["k2"] = fleet.other_organisation
+    fleet.boxes["box1"].configuration.in_force.organisations["k2"] = fleet.other_organisation
     condemn(fleet)
     fleet.deadly.clear()
     fleet.advance(RESTART_DELAY_S)
@@ -258,4 +258,4 @@
     (loss,) = world.view.suspects.losses()
     assert loss.start == TargetStart(f"t{helper[1] - 9000}", 7)
     world.view.note_refused(loss.start.name, "peer", world.net.seconds())
-    assert loss.verdict is Verdict.ENDED
+    assert loss.verdict is LossVerdict.ENDED
--- a/gladedrum/gossip/port.py
+++ b/gladedrum/gossip/port.py
@@ -118,14 +118,14 @@
         self,
         box: str,
         clock: IReactorTime,
-        peers: Callable[[], Iterable[tuple[str, int]]],
+        members: Callable[[], Iterable[tuple[str, int]]],
         all_boxes: Callable[[], Iterable[tuple[str, int]]],
         receive: Callable[[Gossip, tuple[str, int]], None],
         capacity: float = 0.0,
     ):
         self._box = box
         self._clock = clock
-        self._peers = peers
+        self._members = members
         self._all_boxes = all_boxes
         self._receive = receive
         self._capacity = capacity
@@ -155,12 +155,12 @@
         """Send losses and their verdicts to one box or to all members."""
         for first in range(0, len(notes), LOSSES_PER_DATAGRAM):
             part = Gossip(self._box, losses=notes[first : first + LOSSES_PER_DATAGRAM])
-            for peer in self._peers() if address is None else [address]:
+            for peer in self._members() if address is None else [address]:
                 self._send(peer, part)
 
     def broadcast_rate(self, note: RateNote) -> None:
         """Send the rate limit that a target names to all members."""
-        for address in self._peers():
+        for address in self._members():
             self._send(address, Gossip(self._box, rates=[note]))
 
     def broadcast_leaving(self, note: LeavingNote) -> None:
@@ -169,7 +169,7 @@
         This includes boxes that receive no notes of work, since these place requests themselves
         when no member of the coordinator group answers.
         """
-        for address in {*self._peers(), *self._all_boxes()}:
+        for address in {*self._members(), *self._all_boxes()}:
             self._send(address, Gossip(self._box, leaving_targets=[note]))
 
     def send_spent(self, address: tuple[str, int], note: SpentNote) -> None:
@@ -197,7 +197,7 @@
             self._flush()
             self._shutting_down = True
         data = encode(Gossip(self._box, leaving=True))
-        for address in self._peers():
+        for address in self._members():
             self._write(address, data)
 
     def ask(self, address: tuple[str, int], note: AskNote) -> None:
@@ -259,7 +259,7 @@
         self._work, self._reports = [], []
         if self._shutting_down:
             return
-        for address in self._peers():
+        for address in self._members():
             self._write(address, data)
 
     def _send(self, address: tuple[str, int], gossip: Gossip) -> None:
--- a/gladedrum/placing/choosing.py
+++ b/gladedrum/placing/choosing.py
@@ -92,7 +92,7 @@
     pause_limit_s: float
     data_hall: str
     policy: str
-    lost_s: float = float("inf")
+    caller_leaves_s: float = float("inf")
     committed: bool = False
     connected: frozenset[str] = frozenset()
     digest: bytes = b""
@@ -326,7 +326,7 @@
             demand.first_due_s - now_s,
             demand.pause_limit_s,
             choice.reserved,
-            demand.lost_s - now_s,
+            demand.caller_leaves_s - now_s,
             demand.digest if standing is not Standing.CLEAR else b"",
             standing >= Standing.ALONE,
         )
@@ -347,7 +347,7 @@
             worth_of(demand.prompt_tokens),
             demand.first_due_s - now_s,
             demand.pause_limit_s,
-            demand.lost_s - now_s,
+            demand.caller_leaves_s - now_s,
         )
         placement = place_by(
             demand.policy, traits, candidates, job, now_s, self._view.long_prompt_arrivals
--- a/gladedrum/placing/condemned_record.py
+++ b/gladedrum/placing/condemned_record.py
@@ -18,7 +18,7 @@
 from ..beliefs.membership import BoxRegistry
 from ..errors import KVConflictError, KVUnavailableError, KVUnknownError
 from ..platform.store import NEVER, StoreClient, StoredItem
-from ..scheduling.suspects import LOSS_RETENTION_S, Condemned, Loss, TargetStart, Verdict
+from ..scheduling.suspects import LOSS_RETENTION_S, Condemned, Loss, LossVerdict, TargetStart
 from ..utils import sleep, start
 from .suspicion import Suspicion
 
@@ -128,7 +128,7 @@
             return
         now_s = self._clock.seconds()
         for target in starts:
-            yield Loss(digest, target, now_s, Verdict.ENDED, *route_and_organisation)
+            yield Loss(digest, target, now_s, LossVerdict.ENDED, *route_and_organisation)
 
     def _note_condemned(self, row: Condemned) -> None:
         if row.digest not in self._recorded and self._is_reader():
--- a/gladedrum/placing/fleet_view.py
+++ b/gladedrum/placing/fleet_view.py
@@ -115,7 +115,7 @@
     reported_s: float = float("-inf")
     distrust: float = 0.0
     distrust_updated_s: float = float("-inf")
-    silent: bool = False
+    reports_missing: bool = False
     refused_s: dict[str, float] = field(default_factory=dict)
     born: int = 0
     rate: NamedRate | None = None
@@ -126,12 +126,12 @@
         return sum(now_s - at_s <= REFUSAL_LIFETIME_S for at_s in self.refused_s.values())
 
     @property
-    def is_suspect(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether its reports are missing, or it refuses connections.
 
         The age of a report is not evidence: the box that reads the reports may have stopped.
         """
-        return self.silent
+        return self.reports_missing
 
     def unknown_tokens(self) -> float:
         """Return the memory in its report beyond the work known here, in tokens.
@@ -145,10 +145,10 @@
 
     def distrust_at(self, now_s: float) -> float:
         """Return the distrust at `now_s`, decayed since its last update."""
-        if not self.distrust and not self.silent:
+        if not self.distrust and not self.reports_missing:
             return 0.0
         decayed = self.distrust * 3 ** (-(now_s - self.distrust_updated_s) / DISTRUST_DECAY_S)
-        return max(decayed, UNREACHABLE_DISTRUST) if self.silent else decayed
+        return max(decayed, UNREACHABLE_DISTRUST) if self.reports_missing else decayed
 
 
 class _Backoff(NamedTuple):
@@ -277,7 +277,7 @@
     def note_outcome(self, target: str, failed: bool, now_s: float, told_by: str = "") -> None:
         """Update a target's distrust after a request; `told_by` is the reporting peer, if any."""
         state = self._states[target]
-        before = state.distrust_at(now_s) if not state.silent else state.distrust
+        before = state.distrust_at(now_s) if not state.reports_missing else state.distrust
         weight = FAILURE_WEIGHT if failed else SUCCESS_WEIGHT
         state.distrust = before + weight * (float(failed) - before)
         state.distrust_updated_s = now_s
@@ -297,10 +297,10 @@
         if report is not None and not self.note_start(target, report.born, now_s):
             return
         state = self._states[target]
-        silent = report is None
-        if silent != state.silent:
-            _log.info("target reports", extra={"target": target, "answers": not silent})
-        state.silent = silent
+        reports_missing = report is None
+        if reports_missing != state.reports_missing:
+            _log.info("target reports", extra={"target": target, "answers": not reports_missing})
+        state.reports_missing = reports_missing
         if report is not None:
             state.report, state.reported_s = report, now_s
             state.refused_s.clear()
@@ -463,5 +463,5 @@
 
 
 def _stake(plan: WorkPlan, now_s: float) -> Stake:
-    due_s, caller_leaves_s = now_s + plan.first_due_in_s, now_s + plan.lost_in_s
-    return Stake(plan.value, due_s, plan.pause_limit_s, caller_leaves_s)
+    due_s, caller_leaves_s = now_s + plan.first_due_in_s, now_s + plan.caller_leaves_in_s
+    return Stake(plan.worth, due_s, plan.pause_limit_s, caller_leaves_s)
--- a/gladedrum/placing/placer.py
+++ b/gladedrum/placing/placer.py
@@ -247,7 +247,7 @@
             list(tried),
             demand.data_hall,
             demand.policy,
-            lost_in_s=demand.lost_s - self._clock.seconds(),
+            lost_in_s=demand.caller_leaves_s - self._clock.seconds(),
             committed=demand.committed,
             connected=sorted(demand.connected),
             digest=demand.digest or None,
--- a/gladedrum/placing/retry_pool.py
+++ b/gladedrum/placing/retry_pool.py
@@ -23,7 +23,7 @@
 from ..gossip.wire.ttypes import Gossip, RepeatAsk, RepeatGrant
 from .retry_shares import RetryShares
 
-__all__ = ["Grant", "RetryPool", "sharers_of"]
+__all__ = ["RetryGrant", "RetryPool", "sharers_of"]
 
 MAX_MEMBERS_ASKED = 2
 """Number of coordinators that are asked for a retry: the first may be slow, or have spent its part
@@ -44,7 +44,7 @@
     return GROUP_SIZE if coordinators.includes_me() else 0
 
 
-class Grant(Enum):
+class RetryGrant(Enum):
     """Which box's share a retry was taken from."""
 
     OWN = "own"
@@ -88,23 +88,23 @@
         """Count a caller's request to a service."""
         self._shares.note_request(service, self._clock.seconds())
 
-    async def take(self, service: str) -> Grant | None:
+    async def take(self, service: str) -> RetryGrant | None:
         """Take one retry; return whose share it is from, None if there is none left."""
         if self._shares.take(service, self._clock.seconds()):
-            return Grant.OWN
+            return RetryGrant.OWN
         if await self._ask(service):
-            return Grant.PEER
+            return RetryGrant.PEER
         left = round(self._shares.left(service, self._clock.seconds()), 2)
         _log.info("no repeat granted", extra={"service": service, "left": left})
         return None
 
-    def give_back(self, service: str, grant: Grant) -> None:
+    def give_back(self, service: str, grant: RetryGrant) -> None:
         """Return a retry that was not sent.
 
         One granted by a peer is lost: the peer's share has been refilled since, and returning the
         retry would exceed the fleet's budget.
         """
-        if grant is not Grant.PEER:
+        if grant is not RetryGrant.PEER:
             self._shares.give_back(service, self._clock.seconds())
 
     def receive(self, message: Gossip, address: tuple[str, int]) -> None:
--- a/gladedrum/placing/suspicion.py
+++ b/gladedrum/placing/suspicion.py
@@ -19,9 +19,9 @@
     ALIVE_AFTER_S,
     Condemned,
     Loss,
+    LossVerdict,
     Standing,
     TargetStart,
-    Verdict,
 )
 from ..utils import sleep
 from .fleet_view import FleetView
@@ -199,12 +199,12 @@
 
 def loss_from_note(note: LossNote, now_s: float) -> Loss | None:
     """Return the loss in a peer's note; None if the note is invalid."""
-    known = {int(verdict) for verdict in Verdict}
+    known = {int(verdict) for verdict in LossVerdict}
     if not note.digest or not note.target or note.verdict not in known:
         return None
     at_s = now_s - max(0.0, note.age_s or 0.0)
     start = TargetStart(note.target, note.born or 0)
-    verdict, route = Verdict(note.verdict), note.route or ""
+    verdict, route = LossVerdict(note.verdict), note.route or ""
     return Loss(note.digest, start, at_s, verdict, route, note.organisation or "")
 
 
--- a/gladedrum/placing/tests/test_placing.py
+++ b/gladedrum/placing/tests/test_placing.py
@@ -245,7 +245,7 @@
     assert len(held) == MAX_MEMBERS_ASKED
     assert len(outside.net.opened) == 1
     assert rows_of(inside) == MAX_MEMBERS_ASKED
-    outside.port._peers = lambda: [("10.0.1.1", 2)]
+    outside.port._members = lambda: [("10.0.1.1", 2)]
     for data, address in held:
         wire.write(data, address)
     outside.run(0.05, step_s=0.01)
@@ -269,7 +269,7 @@
 def test_a_choice_that_can_not_be_used_is_withdrawn():
     outside, inside, _wire = outside_and_inside_box()
     outside.list_targets(0)
-    outside.port._peers = lambda: [("10.0.1.1", 2)]
+    outside.port._members = lambda: [("10.0.1.1", 2)]
     outside.caller().send_request(b"body")
     outside.run(0.05, step_s=0.01)
     assert rows_of(inside) == 0
--- a/gladedrum/placing/tests/test_reports.py
+++ b/gladedrum/placing/tests/test_reports.py
@@ -40,7 +40,7 @@
         self.running[-1].addErrback(lambda _failure: None)
 
     def suspects(self):
-        return {e for e in self.beliefs.targets.entries if self.view.state(e).is_suspect}
+        return {e for e in self.beliefs.targets.entries if self.view.state(e).is_unresponsive}
 
     def _receive(self, told, address):
         super()._receive(told, address)
--- a/gladedrum/placing/tests/test_restarts.py
+++ b/gladedrum/placing/tests/test_restarts.py
@@ -78,7 +78,7 @@
 def test_a_late_note_that_the_earlier_start_was_silent_is_ignored(view):
     view.note_report("e1", report(NEW), 13.0)
     view.receive(Gossip("peer", [], [ReportNote("e1", False, born=OLD)]), ["e1"], 15.0)
-    assert not view.state("e1").is_suspect
+    assert not view.state("e1").is_unresponsive
 
 
 def test_a_report_without_a_start_keeps_the_state(view):
--- a/gladedrum/placing/work_plan.py
+++ b/gladedrum/placing/work_plan.py
@@ -44,11 +44,11 @@
     targets: tuple[str, ...]
     prompt_tokens: int = 0
     answer_tokens: int = 0
-    value: float = 1.0
+    worth: float = 1.0
     first_due_in_s: float = 1.0
     pause_limit_s: float = 1.0
     reserved: bool = False
-    lost_in_s: float = float("inf")
+    caller_leaves_in_s: float = float("inf")
     digest: bytes = b""
     alone: bool = False
 
@@ -78,11 +78,11 @@
         list(plan.targets),
         plan.prompt_tokens,
         plan.answer_tokens,
-        plan.value,
+        plan.worth,
         plan.first_due_in_s,
         plan.pause_limit_s,
         plan.reserved,
-        plan.lost_in_s,
+        plan.caller_leaves_in_s,
         plan.digest or None,
         plan.alone or None,
     )
--- a/gladedrum/platform/codecs.py
+++ b/gladedrum/platform/codecs.py
@@ -12,7 +12,7 @@
 
 from ..errors import GladedrumError
 from ..fleet import TargetEntry, TargetReport
-from ..routes import CallerLimits, Organisation, Route, RouteTable, Service, ServiceShare
+from ..routes import CallerLimits, Configuration, Organisation, Route, Service, ServiceShare
 from ..scheduling.engine_model import EngineTraits
 
 __all__ = ["MalformedError", "decode_configuration", "decode_report", "decode_target"]
@@ -160,10 +160,10 @@
 _order_answer = msgspec.json.Decoder(_OrderAnswer)
 
 
-def decode_configuration(raw: bytes) -> RouteTable:
+def decode_configuration(raw: bytes) -> Configuration:
     """Decode the operator's configuration; raises `MalformedError`."""
     cfg = _decode(_configuration, raw)
-    return RouteTable(
+    return Configuration(
         version=cfg.version,
         routes=tuple(_route(row) for row in cfg.routes),
         services={row.name: Service(row.name, _traits(row.engine)) for row in cfg.services},
--- a/gladedrum/platform/feeds.py
+++ b/gladedrum/platform/feeds.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from ..fleet import TargetEntry
-from ..routes import RouteTable
+from ..routes import Configuration
 from . import wire
 from .codecs import MalformedError, decode_configuration, decode_target
 from .store import PROBE_TIMEOUT_S, Revision, StoreClient, StoredItem
@@ -30,7 +30,7 @@
         The encoded configuration; empty if it has not changed.
     """
 
-    table: RouteTable | None
+    configuration: Configuration | None
     revision: Revision
     raw: bytes = b""
 
@@ -57,7 +57,7 @@
         raw = _newest(result.changes)
         return ConfigurationUpdate(self.decode(raw) if raw else None, result.revision, raw)
 
-    def decode(self, raw: bytes) -> RouteTable:
+    def decode(self, raw: bytes) -> Configuration:
         """Decode a configuration; raises `MalformedError`."""
         return decode_configuration(raw)
 
--- a/gladedrum/routes/core.py
+++ b/gladedrum/routes/core.py
@@ -3,7 +3,7 @@
 Examples
 --------
 >>> route = Route(name="r", host="a.example", path_prefix="/x/", services=(ServiceShare("s", 1),))
->>> configuration = RouteTable(version=3, routes=(route,))
+>>> configuration = Configuration(version=3, routes=(route,))
 >>> configuration.find("A.example:80", "/x/y/2f?q=1").name
 'r'
 >>> configuration.find("a.example", "/other/") is None
@@ -17,9 +17,9 @@
 
 __all__ = [
     "CallerLimits",
+    "Configuration",
     "Organisation",
     "Route",
-    "RouteTable",
     "Service",
     "ServiceShare",
 ]
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RouteTable:
+class Configuration:
     """One version of the operators' configuration.
 
     Parameters
--- a/gladedrum/scheduling/suspects.py
+++ b/gladedrum/scheduling/suspects.py
@@ -31,7 +31,7 @@
 from typing import NamedTuple
 
 __all__ = ["ALIVE_AFTER_S", "ENDS_TO_CONDEMN", "LOSS_RETENTION_S", "Condemned", "Loss", "Standing"]
-__all__ += ["SuspectTracker", "TargetStart", "Verdict"]
+__all__ += ["LossVerdict", "SuspectTracker", "TargetStart"]
 
 ENDS_TO_CONDEMN = 3
 """Number of targets that a request must have ended to be condemned."""
@@ -66,7 +66,7 @@
     born: int
 
 
-class Verdict(IntEnum):
+class LossVerdict(IntEnum):
     """Whether the target of a loss has ended; when boxes disagree, the higher value wins.
 
     OPEN : It is not known yet.
@@ -117,7 +117,7 @@
     digest: bytes
     start: TargetStart
     at_s: float
-    verdict: Verdict = Verdict.OPEN
+    verdict: LossVerdict = LossVerdict.OPEN
     route: str = ""
     organisation: str = ""
 
@@ -175,7 +175,7 @@
         organisation: str = "",
     ) -> list[Loss]:
         """Record that a request was lost with targets; return the new losses."""
-        losses = [Loss(digest, s, now_s, Verdict.OPEN, route, organisation) for s in starts]
+        losses = [Loss(digest, s, now_s, LossVerdict.OPEN, route, organisation) for s in starts]
         return [loss for loss in losses if self._merge_loss(loss, now_s)]
 
     def note_ended(self, start: TargetStart, now_s: float) -> list[Loss]:
@@ -184,7 +184,9 @@
             s: at_s for s, at_s in self._ended_s.items() if now_s - at_s < SETTLE_TIMEOUT_S
         }
         self._ended_s[start] = now_s
-        return self._settle(start, now_s, Verdict.ENDED, lambda loss: loss.verdict is Verdict.OPEN)
+        return self._settle(
+            start, now_s, LossVerdict.ENDED, lambda loss: loss.verdict is LossVerdict.OPEN
+        )
 
     def note_alive(self, start: TargetStart, now_s: float) -> list[Loss]:
         """Record a report of a target; return the losses that it clears.
@@ -195,18 +197,18 @@
             del self._ended_s[start]
 
         def is_refuted(loss: Loss) -> bool:
-            refutable = loss.verdict is Verdict.OPEN or (
-                start.born and loss.verdict is Verdict.ENDED
+            refutable = loss.verdict is LossVerdict.OPEN or (
+                start.born and loss.verdict is LossVerdict.ENDED
             )
             return bool(refutable) and now_s - loss.at_s >= ALIVE_AFTER_S
 
-        return self._settle(start, now_s, Verdict.CLEARED, is_refuted)
+        return self._settle(start, now_s, LossVerdict.CLEARED, is_refuted)
 
     def note_served(self, digest: bytes, now_s: float) -> list[Loss]:
         """Record that a request completed; return the losses that this clears."""
         uncleared = [loss for loss in self._losses.get(digest, {}).values() if _is_uncleared(loss)]
         for loss in uncleared:
-            loss.verdict, loss.at_s = Verdict.CLEARED, now_s
+            loss.verdict, loss.at_s = LossVerdict.CLEARED, now_s
         if uncleared:
             self._note_change(uncleared, now_s)
         return uncleared
@@ -231,7 +233,7 @@
         losses = self._attributed_losses(digest)
         if not losses:
             return Standing.CLEAR
-        ended = [loss for loss in losses if loss.verdict is Verdict.ENDED]
+        ended = [loss for loss in losses if loss.verdict is LossVerdict.ENDED]
         if _count_starts(ended) >= ENDS_TO_CONDEMN and any(
             self._is_sole_cause(loss) for loss in ended
         ):
@@ -289,7 +291,7 @@
         if known is not None and known.verdict >= loss.verdict:
             return False
         if now_s - self._ended_s.get(loss.start, float("-inf")) < SETTLE_TIMEOUT_S:
-            loss.verdict = max(loss.verdict, Verdict.ENDED)
+            loss.verdict = max(loss.verdict, LossVerdict.ENDED)
         self._losses[loss.digest][loss.start] = loss
         self._lost_with[loss.start].add(loss.digest)
         self._note_change([loss], now_s)
@@ -298,13 +300,17 @@
         return True
 
     def _settle(
-        self, start: TargetStart, now_s: float, verdict: Verdict, applies: Callable[[Loss], bool]
+        self,
+        start: TargetStart,
+        now_s: float,
+        verdict: LossVerdict,
+        applies: Callable[[Loss], bool],
     ) -> list[Loss]:
         lost = [self._losses[digest][start] for digest in self._lost_with.get(start, ())]
         settled = [loss for loss in lost if applies(loss)]
         for loss in settled:
             loss.verdict = verdict
-            if verdict is Verdict.CLEARED:
+            if verdict is LossVerdict.CLEARED:
                 loss.at_s = now_s
         if settled:
             self._note_change(settled, now_s)
@@ -377,11 +383,11 @@
 
 
 def _is_uncleared(loss: Loss) -> bool:
-    return loss.verdict is not Verdict.CLEARED
+    return loss.verdict is not LossVerdict.CLEARED
 
 
 def _retention_s(loss: Loss) -> float:
-    return SETTLE_TIMEOUT_S if loss.verdict is Verdict.OPEN else LOSS_RETENTION_S
+    return SETTLE_TIMEOUT_S if loss.verdict is LossVerdict.OPEN else LOSS_RETENTION_S
 
 
 def _count_starts(losses: Iterable[Loss]) -> int:
--- a/gladedrum/scheduling/tests/test_suspects.py
+++ b/gladedrum/scheduling/tests/test_suspects.py
@@ -13,10 +13,10 @@
     MAX_REQUESTS,
     MAX_SHARED_LOSSES,
     SETTLE_TIMEOUT_S,
+    LossVerdict,
     Standing,
     SuspectTracker,
     TargetStart,
-    Verdict,
 )
 
 BAD, GOOD, OTHER = b"bad", b"good", b"other"
@@ -247,4 +247,4 @@
                 tracker.note_served(digest, now_s + 1.0)
             now_s += 0.3
     assert tracker.condemned(now_s) == []
-    assert {loss.verdict for loss in tracker.losses()} == {Verdict.ENDED, Verdict.CLEARED}
+    assert {loss.verdict for loss in tracker.losses()} == {LossVerdict.ENDED, LossVerdict.CLEARED}
--- a/gladedrum/standins/operator.py
+++ b/gladedrum/standins/operator.py
@@ -3,7 +3,7 @@
 import json
 
 from ..platform import wire
-from ..routes import Route, RouteTable
+from ..routes import Configuration, Route
 from ..scheduling.engine_model import EngineTraits
 
 __all__ = ["CONFIGURATION_KEY", "configuration_bytes"]
@@ -15,7 +15,7 @@
 """For the configuration's time fields, which are in milliseconds."""
 
 
-def configuration_bytes(table: RouteTable) -> bytes:
+def configuration_bytes(table: Configuration) -> bytes:
     """Return `table` encoded as the operator's JSON configuration."""
     keys_by_organisation: dict[str, list[str]] = {}
     for key, organisation in table.organisations.items():
--- a/soak/guards.py
+++ b/soak/guards.py
@@ -100,7 +100,7 @@
     """Keep the first configuration and ignore later ones."""
     apply = ConfigurationFollower._apply
     ConfigurationFollower._apply = lambda follower, configuration: (
-        apply(follower, configuration) if follower.table is None else None
+        apply(follower, configuration) if follower.in_force is None else None
     )
 
 
@@ -112,7 +112,7 @@
         if configuration is None:
             return
         seen.append(configuration)
-        follower.table = seen[-2] if len(seen) % 3 == 0 else configuration
+        follower.in_force = seen[-2] if len(seen) % 3 == 0 else configuration
 
     ConfigurationFollower._apply = apply
 
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -7,7 +7,7 @@
 
 from gladedrum.errors import KVConflictError, KVUnavailableError, KVUnknownError
 from gladedrum.platform import ABSENT, StoreClient
-from gladedrum.routes import Organisation, Route, RouteTable, Service, ServiceShare
+from gladedrum.routes import Configuration, Organisation, Route, Service, ServiceShare
 from gladedrum.standins.operator import CONFIGURATION_KEY, configuration_bytes
 from gladedrum.standins.request_headers import CALLER_HOST
 from gladedrum.utils import start
@@ -82,7 +82,7 @@
 that callers wait 2 s for an event."""
 
 
-def _configuration(version: int, keys: list[str]) -> RouteTable:
+def _configuration(version: int, keys: list[str]) -> Configuration:
     """Return a configuration; all keys belong to an organisation named after the version."""
     routes = (
         _route(Kind.ONCE, "plain"),
@@ -94,7 +94,7 @@
     )
     services = {"plain": Service("plain"), "pool": Service("pool", ENGINE)}
     organisations = {key: Organisation(f"org-{version}", None) for key in keys}
-    return RouteTable(version, routes, services, organisations)
+    return Configuration(version, routes, services, organisations)
 
 
 def _route(kind: Kind, service: str, **fields: object) -> Route:
